--- a/src/libs/scheduling/fairqueue.cpp
+++ b/src/libs/scheduling/fairqueue.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Customers read in rotation with every take. With a tenth of 9,400 customers backlogged, a
-/// position that fell unannounced is seen after 235 takes.
+/// Customers whose positions each takeNext() reads again in turn. With a tenth of 9,400
+/// customers backlogged, an unannounced decrease is noticed within 235 calls.
 constexpr std::size_t refreshesPerTake = 4;
 
 } // namespace
@@ -25,7 +25,7 @@
     return std::tie(*a->work.deadline, a->serial) < std::tie(*b->work.deadline, b->serial);
 }
 
-bool FairQueue::LesserPosition::operator()(const Customer *a, const Customer *b) const
+bool FairQueue::LowerPosition::operator()(const Customer *a, const Customer *b) const
 {
     return std::tie(a->position, a->serial) < std::tie(b->position, b->serial);
 }
@@ -42,7 +42,7 @@
 void FairQueue::push(const WaitingWork &work)
 {
     remove(work.request);
-    Customer &customer = customerOf(work.customer);
+    Customer &customer = findOrAddCustomer(work.customer);
     Item &item = m_items[work.request];
     item.work = work;
     item.customer = &customer;
@@ -55,10 +55,10 @@
 {
     if (isEmpty())
         return std::nullopt;
-    refreshInRotation(service);
-    const Base::ServiceUnits ceiling = validLeast(service)->position + m_policy.window;
-    admitCandidates(service, ceiling);
-    const Item *next = firstHead(service, claims, ceiling, now);
+    refreshRoundRobin(service);
+    const Base::ServiceUnits windowEnd = refreshLeastServed(service)->position + m_policy.window;
+    addCandidates(service, windowEnd);
+    const Item *next = selectNext(service, claims, windowEnd, now);
     return remove(Base::RequestKey(next->work.request));
 }
 
@@ -74,8 +74,8 @@
     if (customer.waiting > 0)
         return work;
     m_byPosition.erase(&customer);
-    m_beyond.erase(&customer);
-    m_rotation.erase(customer.rotation);
+    m_outsideWindow.erase(&customer);
+    m_refreshOrder.erase(customer.refreshIt);
     m_customers.erase(work.customer);
     return work;
 }
@@ -117,12 +117,12 @@
 {
     if (isEmpty())
         return std::nullopt;
-    return validLeast(service)->id;
+    return refreshLeastServed(service)->id;
 }
 
-/// A new customer's position is unknown here; 0 is a lower bound of it and is read anew with
-/// the next take.
-FairQueue::Customer &FairQueue::customerOf(const Base::CustomerId &id)
+/// A new customer starts at position 0, which is a lower bound of its unknown position; the
+/// next takeNext() reads the position.
+FairQueue::Customer &FairQueue::findOrAddCustomer(const Base::CustomerId &id)
 {
     const auto [it, isNew] = m_customers.try_emplace(id);
     Customer &customer = it->second;
@@ -130,9 +130,9 @@
         return customer;
     customer.id = id;
     customer.serial = ++m_lastSerial;
-    customer.rotation = m_rotation.insert(m_rotation.end(), &customer);
+    customer.refreshIt = m_refreshOrder.insert(m_refreshOrder.end(), &customer);
     m_byPosition.insert(&customer);
-    m_beyond.insert(&customer);
+    m_outsideWindow.insert(&customer);
     return customer;
 }
 
@@ -146,7 +146,7 @@
         m_byDeadline.insert(&item);
     if (!customer.isCandidate || *items.begin() != &item)
         return;
-    ItemsByStart &heads = m_heads[item.work.workClass];
+    ItemsByStart &heads = m_candidateHeads[item.work.workClass];
     if (oldHead)
         heads.erase(oldHead);
     heads.insert(&item);
@@ -162,7 +162,7 @@
     if (item.work.deadline)
         m_byDeadline.erase(&item);
     if (customer.isCandidate && wasHead) {
-        ItemsByStart &heads = m_heads[item.work.workClass];
+        ItemsByStart &heads = m_candidateHeads[item.work.workClass];
         heads.erase(&item);
         if (!items.empty())
             heads.insert(*items.begin());
@@ -174,14 +174,14 @@
 void FairQueue::setPosition(Customer &customer, Base::ServiceUnits position)
 {
     m_byPosition.erase(&customer);
-    m_beyond.erase(&customer);
+    m_outsideWindow.erase(&customer);
     customer.position = position;
     m_byPosition.insert(&customer);
     if (!customer.isCandidate)
-        m_beyond.insert(&customer);
+        m_outsideWindow.insert(&customer);
 }
 
-/// Returns whether the position had changed.
+/// Reads the customer's position; returns whether it has changed.
 bool FairQueue::refresh(Customer &customer, const ServiceView &service)
 {
     const Base::ServiceUnits position = service.position(customer.id);
@@ -191,12 +191,12 @@
     return true;
 }
 
-void FairQueue::refreshInRotation(const ServiceView &service)
+void FairQueue::refreshRoundRobin(const ServiceView &service)
 {
-    const std::size_t n = std::min(refreshesPerTake, m_rotation.size());
+    const std::size_t n = std::min(refreshesPerTake, m_refreshOrder.size());
     for (std::size_t i = 0; i < n; ++i) {
-        refresh(*m_rotation.front(), service);
-        m_rotation.splice(m_rotation.end(), m_rotation, m_rotation.begin());
+        refresh(*m_refreshOrder.front(), service);
+        m_refreshOrder.splice(m_refreshOrder.end(), m_refreshOrder, m_refreshOrder.begin());
     }
 }
 
@@ -206,70 +206,75 @@
         return;
     customer.isCandidate = isCandidate;
     if (isCandidate)
-        m_beyond.erase(&customer);
+        m_outsideWindow.erase(&customer);
     else
-        m_beyond.insert(&customer);
+        m_outsideWindow.insert(&customer);
     for (const auto &[workClass, items] : customer.byClass) {
         if (isCandidate)
-            m_heads[workClass].insert(*items.begin());
+            m_candidateHeads[workClass].insert(*items.begin());
         else
-            m_heads[workClass].erase(*items.begin());
+            m_candidateHeads[workClass].erase(*items.begin());
     }
 }
 
-FairQueue::Customer *FairQueue::validLeast(const ServiceView &service)
+FairQueue::Customer *FairQueue::refreshLeastServed(const ServiceView &service)
 {
     while (refresh(**m_byPosition.begin(), service)) {}
     return *m_byPosition.begin();
 }
 
-/// Makes candidates of all customers up to \a ceiling.
-void FairQueue::admitCandidates(const ServiceView &service, Base::ServiceUnits ceiling)
+/// Makes all customers with positions up to \a windowEnd candidates.
+void FairQueue::addCandidates(const ServiceView &service, Base::ServiceUnits windowEnd)
 {
-    while (!m_beyond.empty() && (*m_beyond.begin())->position <= ceiling) {
-        Customer &customer = **m_beyond.begin();
+    while (!m_outsideWindow.empty() && (*m_outsideWindow.begin())->position <= windowEnd) {
+        Customer &customer = **m_outsideWindow.begin();
         if (!refresh(customer, service))
             setCandidate(customer, true);
     }
 }
 
-/// The first of \a heads whose customer is still a candidate and that must not start before
-/// \a from; the others met are taken out.
-const FairQueue::Item *FairQueue::validHead(const ItemsByStart &heads, const ServiceView &service,
-                                            Base::ServiceUnits ceiling, Base::TimePoint from)
+/// Returns the first of \a heads whose start target is at or after \a earliestStart and whose
+/// customer is still within the window. Customers found outside the window on the way stop
+/// being candidates.
+const FairQueue::Item *FairQueue::firstEligible(const ItemsByStart &heads,
+                                                const ServiceView &service,
+                                                Base::ServiceUnits windowEnd,
+                                                Base::TimePoint earliestStart)
 {
-    Item probe;
-    probe.work.startBy = from;
+    Item searchKey;
+    searchKey.work.startBy = earliestStart;
     while (true) {
-        const auto it = heads.lower_bound(&probe);
+        const auto it = heads.lower_bound(&searchKey);
         if (it == heads.end())
             return nullptr;
         const Item *head = *it;
         refresh(*head->customer, service);
-        if (head->customer->position <= ceiling)
+        if (head->customer->position <= windowEnd)
             return head;
         setCandidate(*head->customer, false);
     }
 }
 
-const FairQueue::Item *FairQueue::firstHead(const ServiceView &service, const ClassClaims &claims,
-                                            Base::ServiceUnits ceiling, Base::TimePoint now)
+const FairQueue::Item *FairQueue::selectNext(const ServiceView &service, const ClassClaims &claims,
+                                             Base::ServiceUnits windowEnd, Base::TimePoint now)
 {
-    // In this order: can still start in time, is late, and the same of classes over their claim.
+    // In order of preference. Work is in time while its start target has not passed.
     enum Rank { InTime, Late, InTimeOverClaim, LateOverClaim, RankCount };
-    std::array<const Item *, RankCount> first{};
-    const auto offer = [&](Rank rank, const Item *head) {
-        if (head && (!first[rank] || EarlierStart()(head, first[rank])))
-            first[rank] = head;
+    std::array<const Item *, RankCount> bestByRank{};
+    const auto consider = [&](Rank rank, const Item *head) {
+        if (head && (!bestByRank[rank] || EarlierStart()(head, bestByRank[rank])))
+            bestByRank[rank] = head;
     };
-    for (const auto &[workClass, heads] : m_heads) {
+    for (const auto &[workClass, heads] : m_candidateHeads) {
         const bool isOverClaim = claims.isOverClaim(workClass);
-        offer(isOverClaim ? InTimeOverClaim : InTime, validHead(heads, service, ceiling, now));
-        offer(isOverClaim ? LateOverClaim : Late,
-              validHead(heads, service, ceiling, Base::TimePoint::min()));
+        consider(isOverClaim ? InTimeOverClaim : InTime,
+                 firstEligible(heads, service, windowEnd, now));
+        consider(isOverClaim ? LateOverClaim : Late,
+                 firstEligible(heads, service, windowEnd, Base::TimePoint::min()));
     }
-    // There always is one: the least-served customer is a candidate and has work.
-    return *std::find_if(first.begin(), first.end(), [](const Item *head) { return head; });
+    // The least-served customer is a candidate and has work, so there always is a head.
+    return *std::find_if(bestByRank.begin(), bestByRank.end(),
+                         [](const Item *head) { return head; });
 }
 
 } // namespace Scheduling
--- a/src/libs/scheduling/fairqueue.h
+++ b/src/libs/scheduling/fairqueue.h
@@ -18,46 +18,55 @@
 /// Thresholds of the queue order.
 struct FairQueuePolicy
 {
-    /// Customers within this many weighed tokens of the least-served backlogged customer are
-    /// treated as equal, and start targets decide among them. About one ordinary request
-    /// (1,000 prompt tokens and 256 generated ones, which count four times): a smaller window
-    /// takes a customer out of the choice with its first permit, so that start targets decide
-    /// nothing; a larger one adds to the gap, token for token.
+    /// Customers whose position is at most this many weighted tokens above that of the
+    /// least-served backlogged customer count as equally served; start targets decide among
+    /// them. The default is about one ordinary request (1,000 prompt tokens and 256 generated
+    /// tokens, which count four times). With a smaller window a customer leaves the window with
+    /// its first permit, so start targets decide nothing. A larger window widens the service
+    /// gap between customers by the same number of tokens.
     Base::ServiceUnits window = 2000;
 };
 
-/// How much of a pool a class holds now, and what its target lets it claim.
+/// Tells which classes of work use up their claim of a pool. The claim of a class is the share
+/// of the pool's permits that its target lets it hold while other work waits.
 class ClassClaims
 {
 public:
     virtual ~ClassClaims() = default;
-    /// Whether the class holds its whole claim of the pool or more.
+    /// Whether the permits that the class holds reach or exceed its claim.
     virtual bool isOverClaim(const Base::ClassId &workClass) const = 0;
 };
 
-/// Order in which the work that waits in one pool shard is given permits.
+/// Decides in which order the work that waits in one pool shard is given permits.
 ///
-/// Load pattern: customers of very different size compete for one pool, with costs that are
-/// known only at the end, and long work stands among short. Served by arrival, the largest
-/// customer would take the pool; served strictly by least service, start targets would mean
-/// nothing. So the customers within FairQueuePolicy::window of the least-served backlogged one
-/// are candidates, and of their work that which must start first goes first, work that can
-/// still start in time before work that is late anyway: otherwise the standing backlog of large
-/// customers, always the latest, would go before every fresh request of a small one. Work of a
-/// class over its claim is passed over while other work of a candidate waits. It is not passed over
-/// in favour of customers outside the window: the bound on the gap holds before a claim does.
-/// Ties go by arrival. docs/design/queue-order.md derives the bound.
+/// The queue combines fairness between customers with start targets. It serves customers of
+/// very different size that compete for one pool, with costs that are known only when work
+/// ends, and with long work among short work. In order of arrival the largest customer would
+/// take the whole pool; in strict order of least service, start targets would have no effect.
 ///
-/// A take costs O(classes * log customers), amortised. Positions change outside while work
-/// waits, so the one kept for a customer is a lower bound: it is read anew only when the
-/// customer comes first in an index, and moved if it grew. A position that fell (a hold given
-/// back, a debt forgiven) would break that; positionLowered() says so, and every take also
-/// reads a few customers in rotation, so that an unannounced fall is seen within
-/// backloggedCount() / refreshesPerTake takes.
+/// The backlogged customers within FairQueuePolicy::window of the least-served one are the
+/// candidates. The waiting work of the candidates is ordered as follows:
+/// - Work of a class over its claim goes after all other work. It is still preferred over the
+///   work of customers outside the window: the bound on the service gap takes precedence over
+///   a claim.
+/// - Work that can still start in time goes before work that is already late. Otherwise the
+///   standing backlog of large customers, which is always the latest, would go before every
+///   new request of a small customer.
+/// - Work that must start earlier goes first; ties go by arrival.
+///
+/// docs/design/queue-order.md derives the bound on the service gap.
+///
+/// takeNext() costs O(classes * log customers), amortised. Positions change outside of the
+/// queue while work waits. The queue therefore keeps a lower bound of each customer's position,
+/// reads the position again only when the customer comes first in an index, and moves the
+/// customer if the position has grown. A position that decreases (a hold is returned or a debt
+/// is forgiven) breaks the lower bound, so the owner announces it with invalidatePosition().
+/// Each takeNext() also reads a few customers in turn, so that an unannounced decrease is
+/// noticed within backloggedCount() / refreshesPerTake calls.
 class FairQueue
 {
 public:
-    /// Never fails; a result for the sake of a common form.
+    /// Never fails; it returns a Result like the other factory functions of this library.
     static Base::Result<FairQueue> create(const FairQueuePolicy &policy);
 
     FairQueue(FairQueue &&) = default;
@@ -66,16 +75,16 @@
     FairQueue &operator=(const FairQueue &) = delete;
     ~FairQueue() = default;
 
-    /// Adds \a work; replaces work of the same request.
+    /// Adds \a work and replaces any work of the same request.
     void push(const WaitingWork &work);
-    /// Takes the work that goes next; empty if none waits.
+    /// Removes and returns the work that goes next; empty if none waits.
     std::optional<WaitingWork> takeNext(const ServiceView &service, const ClassClaims &claims,
                                         Base::TimePoint now);
-    /// Removes one request's work; returns it if it was there.
+    /// Removes and returns the work of \a request; empty if it does not wait here.
     std::optional<WaitingWork> remove(const Base::RequestKey &request);
-    /// Takes all work whose caller has given up by \a now.
+    /// Removes and returns all work whose deadline is at or before \a now, in order of deadline.
     std::vector<WaitingWork> takeExpired(Base::TimePoint now);
-    /// To be called when the position of \a customer may have become smaller.
+    /// Must be called when the position of \a customer may have decreased; it is then read again.
     void positionLowered(const Base::CustomerId &customer);
 
     std::size_t size() const { return m_items.size(); }
@@ -83,8 +92,8 @@
     std::size_t waitingOf(const Base::CustomerId &customer) const;
     std::size_t backloggedCount() const { return m_customers.size(); }
     std::vector<Base::CustomerId> backloggedCustomers() const;
-    /// The backlogged customer with the least position: the floor that a customer which
-    /// becomes backlogged is lifted to. Empty if none waits.
+    /// The backlogged customer with the lowest position; empty if none waits. Its position is
+    /// the floor that a customer is lifted to when it becomes backlogged.
     std::optional<Base::CustomerId> leastServed(const ServiceView &service);
 
 private:
@@ -94,7 +103,7 @@
     {
         WaitingWork work;
         Customer *customer = nullptr;
-        /// Order of arrival at this queue, the last tie-break.
+        /// Order of arrival at this queue; breaks the remaining ties.
         std::uint64_t serial = 0;
     };
 
@@ -106,7 +115,7 @@
     {
         bool operator()(const Item *a, const Item *b) const;
     };
-    struct LesserPosition
+    struct LowerPosition
     {
         bool operator()(const Customer *a, const Customer *b) const;
     };
@@ -118,41 +127,43 @@
         Base::CustomerId id;
         std::uint64_t serial = 0;
         std::size_t waiting = 0;
-        /// The position when it was last read: a lower bound.
+        /// The position when it was last read, or 0: a lower bound of the current position.
         Base::ServiceUnits position = 0;
-        /// Whether its first item of each class is in m_heads.
+        /// Whether the first item of each of its classes is in m_candidateHeads.
         bool isCandidate = false;
         std::map<Base::ClassId, ItemsByStart> byClass;
-        std::list<Customer *>::iterator rotation;
+        std::list<Customer *>::iterator refreshIt;
     };
 
     explicit FairQueue(const FairQueuePolicy &policy);
 
-    Customer &customerOf(const Base::CustomerId &id);
+    Customer &findOrAddCustomer(const Base::CustomerId &id);
     void insertItem(Customer &customer, const Item &item);
     void eraseItem(Customer &customer, const Item &item);
     void setPosition(Customer &customer, Base::ServiceUnits position);
     bool refresh(Customer &customer, const ServiceView &service);
-    void refreshInRotation(const ServiceView &service);
+    void refreshRoundRobin(const ServiceView &service);
     void setCandidate(Customer &customer, bool isCandidate);
-    Customer *validLeast(const ServiceView &service);
-    void admitCandidates(const ServiceView &service, Base::ServiceUnits ceiling);
-    const Item *validHead(const ItemsByStart &heads, const ServiceView &service,
-                          Base::ServiceUnits ceiling, Base::TimePoint from);
-    const Item *firstHead(const ServiceView &service, const ClassClaims &claims,
-                          Base::ServiceUnits ceiling, Base::TimePoint now);
+    Customer *refreshLeastServed(const ServiceView &service);
+    void addCandidates(const ServiceView &service, Base::ServiceUnits windowEnd);
+    const Item *firstEligible(const ItemsByStart &heads, const ServiceView &service,
+                              Base::ServiceUnits windowEnd, Base::TimePoint earliestStart);
+    const Item *selectNext(const ServiceView &service, const ClassClaims &claims,
+                           Base::ServiceUnits windowEnd, Base::TimePoint now);
 
     FairQueuePolicy m_policy;
     std::uint64_t m_lastSerial = 0;
     std::unordered_map<Base::RequestKey, Item> m_items;
     std::unordered_map<Base::CustomerId, Customer> m_customers;
     std::set<const Item *, EarlierDeadline> m_byDeadline;
-    std::set<Customer *, LesserPosition> m_byPosition;
-    /// The customers of m_byPosition that are no candidates.
-    std::set<Customer *, LesserPosition> m_beyond;
-    /// The first item of each candidate in each class. Classes are few and stay.
-    std::map<Base::ClassId, ItemsByStart> m_heads;
-    std::list<Customer *> m_rotation;
+    std::set<Customer *, LowerPosition> m_byPosition;
+    /// The customers of m_byPosition that are not candidates.
+    std::set<Customer *, LowerPosition> m_outsideWindow;
+    /// The first item of each candidate, by class. Entries of classes without items are kept:
+    /// there are few classes and they rarely change.
+    std::map<Base::ClassId, ItemsByStart> m_candidateHeads;
+    /// All customers; the front one is the next to be refreshed.
+    std::list<Customer *> m_refreshOrder;
 };
 
 } // namespace Scheduling
