--- a/src/libs/scheduling/admissionpolicy.h
+++ b/src/libs/scheduling/admissionpolicy.h
@@ -10,91 +10,100 @@
 namespace Scheduling {
 
 enum class RefusalReason {
-    CustomerQueueFull,  ///< The customer's own backlog is at its bound.
-    PoolQueueFull,      ///< The pool's backlog is at its bound.
-    DeadlineUnmeetable, ///< The predicted wait passes the caller's deadline.
-    DeadlinePassed,     ///< The caller's deadline passed while the work waited.
-    NoServer,           ///< No backend server serves the pool.
-    TargetUnmeetable,   ///< The predicted wait passes the class's start target by far.
+    CustomerQueueFull,  ///< The customer's backlog is at its limit.
+    PoolQueueFull,      ///< The backlog of the pool shard is at its limit.
+    DeadlineUnmeetable, ///< The predicted wait ends after the caller's deadline.
+    DeadlinePassed,     ///< The caller's deadline has passed.
+    NoServer,           ///< The pool has no usable backend server.
+    TargetUnmeetable,   ///< The predicted wait exceeds the class's start target by far.
 };
 
-/// The state of one pool shard that admission looks at.
+/// The state of one pool shard that admission depends on.
 struct PoolState
 {
     std::size_t waiting = 0;
+    /// Items that wait for the customer that asks for admission.
     std::size_t waitingOfCustomer = 0;
-    /// Customers with waiting work, the asking one included.
+    /// Customers with waiting work, including the one that asks for admission.
     std::size_t backloggedCustomers = 0;
     std::size_t usableServers = 0;
     std::size_t freePermits = 0;
-    /// Permits given back a second when all are in use (DrainEstimator); 0 when not known yet.
+    /// Permits returned per second while all are in use (see DrainEstimator); 0 while unknown.
     double drainRate = 0;
 };
 
 struct AdmissionRefusal
 {
     RefusalReason reason = RefusalReason::NoServer;
-    /// When coming back makes sense, jittered so that callers do not come back together.
+    /// Time after which the caller should retry. It is jittered so that callers that were
+    /// refused together do not retry together.
     Base::Milliseconds retryAfter{0};
 };
 
-/// Thresholds of admission; docs/design/admission.md has the measurements.
+/// Thresholds of admission. docs/design/admission.md derives them.
 struct AdmissionLimits
 {
-    /// Items that one shard holds: about 6 MB, and 25 s of work at 800 permits a second.
-    std::size_t waitingPerPool = 20000;
-    /// A tenth of the pool's bound, so that one customer alone leaves it nine tenths free.
-    std::size_t waitingPerCustomer = 2000;
-    /// Refused when the predicted wait passes the class's start target this many times. The
-    /// prediction is off by two when neighbours double and by two again when costs do, so
-    /// below four work would be turned away that might have started in time.
+    /// Largest number of items that wait in one pool shard. The default takes about 6 MB and
+    /// is 25 s of work at 800 permits a second.
+    std::size_t maxWaitingPerPool = 20000;
+    /// Largest number of items that wait for one customer. The default is a tenth of
+    /// maxWaitingPerPool, so that a single customer leaves nine tenths of the queue free.
+    std::size_t maxWaitingPerCustomer = 2000;
+    /// Work is refused when its predicted wait exceeds the class's start target by this
+    /// factor. The prediction is off by a factor of two when the number of other customers
+    /// doubles, and by another two when costs double, so a factor below 4 would refuse work
+    /// that might have started in time.
     double targetFactor = 4;
-    /// No wait below this is "far past the target", however short the target is: a shorter
-    /// queue could run dry before refused callers are back.
-    Base::Milliseconds smallestRefusedWait{1000};
-    /// Bounds of the return time, before jitter. The lower one is several round trips of a
-    /// caller; the upper one is about as long as callers keep trying.
-    Base::Milliseconds smallestRetryAfter{250};
-    Base::Milliseconds largestRetryAfter{30000};
-    /// Return time when the drain rate is not known.
-    Base::Milliseconds retryAfterWithoutRate{2000};
+    /// A shorter predicted wait never counts as far beyond the start target, however short the
+    /// target is: a shorter queue could run empty before refused callers retry.
+    Base::Milliseconds minRefusedWait{1000};
+    /// Bounds of the retry time before jitter. The lower bound is several round trips of a
+    /// caller; the upper bound is about as long as callers keep trying.
+    Base::Milliseconds minRetryAfter{250};
+    Base::Milliseconds maxRetryAfter{30000};
+    /// Retry time while the drain rate is unknown or no server is usable.
+    Base::Milliseconds defaultRetryAfter{2000};
 };
 
-/// Decides whether work may wait.
+/// Decides whether new work may join the queue of a pool shard or is refused.
 ///
-/// Load pattern: one customer floods, or all together ask for more than the pool gives. Without
-/// this the queue grows until every start target is missed and every caller has given up on
-/// work that is then run for nobody.
+/// The policy sheds load when one customer floods the pool or when all customers together
+/// request more than the pool can serve. Without it the queue would grow until every start
+/// target is missed and the servers run work whose callers have given up.
 ///
-/// A customer's new work waits behind its own backlog at its fair share of the drain rate, not
-/// behind a flooding neighbour's. So the predicted wait, and with it the refusal, falls on the
-/// customer that has the backlog. The answer is final and comes in the step that decided it.
-/// After a cold start the drain rate is unknown: then only the bounds on the queue count, since
-/// a prediction from nothing would refuse the work that every entry host asks for again.
+/// New work of a customer waits behind the customer's own backlog, at the customer's fair
+/// share of the drain rate, and not behind the backlog of others. The predicted
+/// wait, and with it the refusal, therefore falls on the customer that has the backlog. A refusal
+/// is final.
+///
+/// After a cold start the drain rate is unknown. Then only the limits on the queue length apply,
+/// because a prediction without data would refuse the work that every entry host (the host that
+/// took the caller's request) requests again.
 class AdmissionPolicy
 {
 public:
     /// Fails with InvalidPolicy.
     static Base::Result<AdmissionPolicy> create(const AdmissionLimits &limits);
 
-    /// Empty when the work is let in; else the final answer, to be sent at once.
+    /// Returns why \a work is refused and when to retry; empty if it is admitted. The caller
+    /// sends a refusal at once.
     std::optional<AdmissionRefusal> refusalFor(const WaitingWork &work, const PoolState &pool,
                                                Base::TimePoint now,
                                                Base::RandomSource &random) const;
-    /// Return time for work that is given up on for \a reason.
+    /// The refusal for \a reason with its retry time.
     AdmissionRefusal refuse(RefusalReason reason, const PoolState &pool,
                             Base::RandomSource &random) const;
-    /// How long new work of the customer will wait; empty when that is not known.
+    /// How long new work of the customer is expected to wait; empty if that is unknown.
     std::optional<Base::Duration> predictedWait(const PoolState &pool) const;
-    /// How many items of the customer may wait now.
-    std::size_t customerBound(const PoolState &pool) const;
+    /// How many items of one customer may wait now.
+    std::size_t maxWaitingOfCustomer(const PoolState &pool) const;
 
 private:
     explicit AdmissionPolicy(const AdmissionLimits &limits);
 
-    bool missesTargetByFar(const WaitingWork &work, const PoolState &pool,
-                           Base::Duration wait) const;
-    Base::Milliseconds typicalReturn(RefusalReason reason, const PoolState &pool) const;
+    bool exceedsTargetByFar(const WaitingWork &work, const PoolState &pool,
+                            Base::Duration wait) const;
+    Base::Milliseconds typicalRetryAfter(RefusalReason reason, const PoolState &pool) const;
 
     AdmissionLimits m_limits;
 };
--- a/tests/auto/scheduling/tst_admission.cpp
+++ b/tests/auto/scheduling/tst_admission.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-PoolState busyPool(std::size_t waiting, std::size_t own, std::size_t backlogged, double rate)
+PoolState busyPool(std::size_t waiting, std::size_t ownWaiting, std::size_t backlogged, double rate)
 {
-    return {waiting, own, backlogged, 4, 0, rate};
+    return {waiting, ownWaiting, backlogged, 4, 0, rate};
 }
 
 } // namespace
 
-TEST_CASE("a flooding customer's own work is turned away first", "[scheduling]")
+TEST_CASE("only the work of a flooding customer is refused", "[scheduling]")
 {
-    // Counter staff of a small dealer wait behind a thousand photo tags of a large one, or are
-    // refused since those fill the queue: one customer asks 200 times what the others do.
+    // Guards against a flooding customer that delays the others or, by filling the queue,
+    // causes their work to be refused. One customer sends 200 times as many requests as each other.
     AdmittedPool pool(8, 4);
     pool.run(4, 100, 1, 1000);
     pool.run(4, 100, 200, 20000);
@@ -32,15 +32,16 @@
     }
     const CustomerSeen &flooder = pool.seen[customerNamed(0)];
     CHECK(flooder.refused > 30000);
-    // Predicted while no other waits: 4 * 500 ms at 80 a second. The others then take 30 of it.
+    // The wait that was predicted while no other customer waits is at most 4 * 500 ms, at 80
+    // permits a second. It gets longer when the other customers take 30 of the 80.
     CHECK(flooder.longestWait <= Milliseconds(4 * 500 * 80 / 50 + 100));
     CHECK(pool.idle == 0);
 }
 
-TEST_CASE("a burst after a quiet time is let in as far as the pool carries it", "[scheduling]")
+TEST_CASE("a burst after a quiet time is admitted as far as the pool can serve it", "[scheduling]")
 {
-    // The first Saturday buyers are told to come back although every server is idle: the rate
-    // of the quiet night was taken for the pool's.
+    // Guards against refusing a burst while every server is idle, which happens when the low
+    // permit rate of the quiet time is taken for the drain rate of the pool.
     DrainEstimator drain;
     for (int i = 0; i < 100; ++i)
         drain.recordUse(Milliseconds(200));
@@ -58,10 +59,10 @@
     std::map<std::size_t, std::size_t> held;
     std::size_t waiting = 0;
     for (std::size_t n = 0; n < 120000; ++n) {
-        std::size_t &own = held[n % 40];
-        if (own >= policy.customerBound(busyPool(waiting, own, 40, 0)))
+        std::size_t &ownWaiting = held[n % 40];
+        if (ownWaiting >= policy.maxWaitingOfCustomer(busyPool(waiting, ownWaiting, 40, 0)))
             continue;
-        ++own;
+        ++ownWaiting;
         ++waiting;
     }
     Base::SeededRandom random(1);
@@ -74,55 +75,57 @@
     CHECK(refusal->reason == RefusalReason::CustomerQueueFull);
 }
 
-TEST_CASE("admission keeps its promises for any state of the pool", "[scheduling]")
+TEST_CASE("admission is consistent for any state of the pool", "[scheduling]")
 {
-    rc::prop("free permits, first work, deadlines and return times", [] {
+    rc::prop("free permits, first work, deadlines and retry times", [] {
         const AdmissionLimits limits;
         const AdmissionPolicy policy = *AdmissionPolicy::create(limits);
         Base::SeededRandom random(*rc::gen::arbitrary<std::uint64_t>());
-        const auto own = *rc::gen::inRange<std::size_t>(0, 1500);
-        const auto others = *rc::gen::inRange<std::size_t>(0, 15000);
+        const auto ownWaiting = *rc::gen::inRange<std::size_t>(0, 1500);
+        const auto otherWaiting = *rc::gen::inRange<std::size_t>(0, 15000);
         const auto backlogged = *rc::gen::inRange<std::size_t>(1, 900);
-        PoolState pool = busyPool(own + others, own, backlogged,
+        PoolState pool = busyPool(ownWaiting + otherWaiting, ownWaiting, backlogged,
                                   *rc::gen::elementOf(std::vector<double>{0, 1e-9, 3, 80, 5000}));
         pool.freePermits = *rc::gen::inRange<std::size_t>(0, 3);
         WaitingWork work = workOf(1, customerNamed(1), *rc::gen::inRange(1, 5000));
         const auto wait = policy.predictedWait(pool);
         auto refusal = policy.refusalFor(work, pool, at(0), random);
-        if (pool.freePermits > 0 || own == 0 || pool.drainRate == 0)
+        if (pool.freePermits > 0 || ownWaiting == 0 || pool.drainRate == 0)
             RC_ASSERT(!refusal.has_value());
         if (wait && *wait > Milliseconds(1)) {
             work.deadline = at(1);
             refusal = policy.refusalFor(work, pool, at(0), random);
             RC_ASSERT(refusal->reason == RefusalReason::DeadlineUnmeetable);
-            RC_ASSERT(refusal->retryAfter >= limits.smallestRetryAfter);
-            RC_ASSERT(refusal->retryAfter <= limits.largestRetryAfter * 3 / 2);
+            RC_ASSERT(refusal->retryAfter >= limits.minRetryAfter);
+            RC_ASSERT(refusal->retryAfter <= limits.maxRetryAfter * 3 / 2);
         }
         work.deadline = at(0);
         refusal = policy.refusalFor(work, pool, at(0), random);
         RC_ASSERT(refusal->reason == RefusalReason::DeadlinePassed);
-        // A neighbour's backlog does not lengthen the wait beyond its fair share.
+        // Once the customer waits for its fair share, more work of others does not lengthen the
+        // wait.
         pool.waiting += 100;
-        if (wait && *wait > Base::Duration::zero() && own + others >= (own + 1) * backlogged)
+        if (wait && *wait > Base::Duration::zero()
+            && ownWaiting + otherWaiting >= (ownWaiting + 1) * backlogged)
             RC_ASSERT(*policy.predictedWait(pool) == *wait);
     });
 }
 
-TEST_CASE("callers refused together do not come back together", "[scheduling]")
+TEST_CASE("callers refused together do not retry together", "[scheduling]")
 {
-    // After a surge the entry hosts are hit by a second one exactly 30 s later: every refused
-    // caller was told the longest return time.
+    // Guards against a second surge exactly 30 s after the first, which happens when every
+    // refused caller is given the longest retry time.
     const AdmissionPolicy policy = *AdmissionPolicy::create({});
     Base::SeededRandom random(20261);
     for (const double rate : {0.0, 0.001, 100.0}) {
-        std::map<std::int64_t, int> perTenth;
+        std::map<std::int64_t, int> countByTenth;
         const PoolState pool = busyPool(20000, 2000, 10, rate);
         const Milliseconds whole = rate == 0 ? Milliseconds(2000) : Milliseconds(30000);
         for (int i = 0; i < 1000; ++i) {
             const auto refusal = policy.refuse(RefusalReason::PoolQueueFull, pool, random);
-            ++perTenth[refusal.retryAfter * 10 / whole];
+            ++countByTenth[refusal.retryAfter * 10 / whole];
         }
-        for (const auto &[tenth, n] : perTenth)
+        for (const auto &[tenth, n] : countByTenth)
             CHECK(n < 150);
     }
 }
