--- a/src/libs/scheduling/admissionpolicy.h
+++ b/src/libs/scheduling/admissionpolicy.h
@@ -71,10 +71,9 @@
 /// request more than the pool can serve. Without it the queue would grow until every start
 /// target is missed and the servers run work whose callers have given up.
 ///
-/// New work of a customer waits behind the customer's own backlog, at the customer's fair
-/// share of the drain rate, and not behind the backlog of others. The predicted
-/// wait, and with it the refusal, therefore falls on the customer that has the backlog. A refusal
-/// is final.
+/// New work of a customer waits behind the customer's own backlog, at the customer's fair share
+/// of the drain rate, and not behind the backlog of others. The predicted wait, and with it the
+/// refusal, therefore falls on the customer that has the backlog. A refusal is final.
 ///
 /// After a cold start the drain rate is unknown. Then only the limits on the queue length apply,
 /// because a prediction without data would refuse the work that every entry host (the host that
--- a/src/libs/scheduling/concurrencylimiter.cpp
+++ b/src/libs/scheduling/concurrencylimiter.cpp
@@ -8,37 +8,40 @@
 
 namespace {
 
-/// One queued at the server for this many running: with answers of 200 ms and 5 ms between two,
-/// a fortieth of the permits is on its way, so less than this would idle slots.
-constexpr std::size_t runningPerHeadroom = 32;
-/// First growth after a queue was seen, as a part of the limit.
-constexpr std::size_t limitPerStep = 16;
-/// A report that shows all but this part of the limit has caught up with the last change.
-constexpr std::size_t limitPerMissing = 8;
-/// Growth of a recovering server with each decision, as a part of the limit.
-constexpr std::size_t limitPerRecovery = 4;
-/// First tokens in a window: the quickest of fewer may be that of a long prompt.
+/// One request may be queued at the server per this many running ones. With answers that take
+/// 200 ms and 5 ms between two answers, a fortieth of the permits is in transit, so a smaller
+/// headroom would leave slots idle.
+constexpr std::size_t headroomDivisor = 32;
+/// The first growth step after a queue was seen is the limit divided by this.
+constexpr std::size_t growthStepDivisor = 16;
+/// A report reflects the last growth once it shows all but the limit divided by this.
+constexpr std::size_t reportToleranceDivisor = 8;
+/// A recovering server's limit grows, and a slow server's limit is cut, by the limit divided by
+/// this.
+constexpr std::size_t recoveryDivisor = 4;
+/// Number of first-token times in a window. The minimum of fewer may be that of a long prompt.
 constexpr std::size_t firstTokensPerWindow = 8;
-/// The best first-token time grows by itself in this time, so that a lasting change (a larger
-/// model version, longer prompts) is the new normal after some minutes. By time and not by
-/// window: a busy server closes ten windows a second.
-constexpr Base::Duration bestMemory = std::chrono::seconds(120);
-/// The longest use is forgotten by this part with each use.
-constexpr int longestDrift = 32;
-/// Below this a first token is quick, whatever the best was.
-constexpr Base::Duration quickFirstToken = std::chrono::milliseconds(50);
-/// A server is frozen only after this many times the longest use that it had.
-constexpr int stallWholes = 4;
+/// The baseline of first-token times rises by itself, by the elapsed part of this time, so that a
+/// lasting change (a larger model version, longer prompts) becomes the baseline after some
+/// minutes. It rises with time and not with each window because a busy server closes ten windows
+/// a second.
+constexpr Base::Duration baselineRiseTime = std::chrono::seconds(120);
+/// Each use reduces the remembered longest use by itself divided by this.
+constexpr int longestUseDecayDivisor = 32;
+/// A first token within this time never counts as slow, however low the baseline is.
+constexpr Base::Duration fastFirstToken = std::chrono::milliseconds(50);
+/// A server counts as frozen only after no progress for this many times its longest use.
+constexpr int stallUseFactor = 4;
 
 } // namespace
 
 Base::Result<ConcurrencyLimiter> ConcurrencyLimiter::create(const ConcurrencyLimits &limits)
 {
-    if (limits.smallest == 0 || limits.initial < limits.smallest || limits.largest < limits.initial)
+    if (limits.minLimit == 0 || limits.initial < limits.minLimit || limits.largest < limits.initial)
         return boost::leaf::new_error(InvalidPolicy{PolicyField::ConcurrencyRange});
     if (limits.reportLag <= Base::Duration::zero()
-        || limits.firstProbeAfter <= Base::Duration::zero()
-        || limits.longestProbeAfter < limits.firstProbeAfter)
+        || limits.initialProbeDelay <= Base::Duration::zero()
+        || limits.maxProbeDelay < limits.initialProbeDelay)
         return boost::leaf::new_error(InvalidPolicy{PolicyField::ConcurrencyTimes});
     return ConcurrencyLimiter(limits);
 }
@@ -46,8 +49,8 @@
 ConcurrencyLimiter::ConcurrencyLimiter(const ConcurrencyLimits &limits)
     : m_limits(limits)
     , m_limit(limits.initial)
-    , m_step(limits.initial)
-    , m_probeAfter(limits.firstProbeAfter)
+    , m_growthStep(limits.initial)
+    , m_probeDelay(limits.initialProbeDelay)
 {}
 
 std::size_t ConcurrencyLimiter::limit() const
@@ -60,135 +63,142 @@
 void ConcurrencyLimiter::recordPermit(const PermitReport &report, std::size_t inUse,
                                       Base::TimePoint now)
 {
-    noteUse(inUse, now);
+    updateInUse(inUse, now);
     if (report.outcome == PermitOutcome::Failed)
-        noteFailure(report, now);
+        handleFailure(report, now);
     if (report.outcome == PermitOutcome::Completed)
-        noteSuccess(report, now);
+        handleSuccess(report, now);
 }
 
 void ConcurrencyLimiter::recordLoad(const LoadReport &report, Base::TimePoint now)
 {
-    m_unreachable = 0;
+    m_unreachablePolls = 0;
     m_reportedAt = now;
-    const bool isJudged =
+    const bool isAdjustable =
         m_condition == ServerCondition::Healthy || m_condition == ServerCondition::Recovering;
-    if (isJudged && report.queued > 0)
-        judgeQueue(report, now);
-    // Work that an earlier home gave out runs there and nothing is queued: there is room for it.
+    if (isAdjustable && report.queued > 0)
+        cutForQueue(report, now);
+    // A server that runs more than the limit without a queue has room for it. The additional
+    // requests were admitted by a previous home (the router that grants the pool's permits).
     if (isHealthy() && !m_isSlow && report.queued == 0 && report.running > m_limit)
         setLimit(report.running, now);
-    if (isJudged && report.queued == 0 && (isCaughtUp(report) || isLagOver(now)))
-        judgeRoom(now);
+    if (isAdjustable && report.queued == 0
+        && (reflectsLastGrowth(report) || hasReportLagPassed(now)))
+        adjustWithoutQueue(now);
     m_lastReport = report;
 }
 
-/// The poll comes from the home, the work from the entries: a poll that fails while answers
-/// come shows a fault between home and server only.
+/// The home polls the server while the entry hosts send it work. A poll that fails while answers
+/// arrive only shows a fault between the home and the server.
 void ConcurrencyLimiter::recordUnreachable(Base::TimePoint now)
 {
-    if (m_unreachable == 0)
+    if (m_unreachablePolls == 0)
         m_unreachableSince = now;
-    ++m_unreachable;
-    const bool hasProgress = m_progressAt > m_unreachableSince;
-    const bool isUsed =
+    ++m_unreachablePolls;
+    const bool hasProgress = m_lastProgressAt > m_unreachableSince;
+    const bool isInService =
         m_condition == ServerCondition::Healthy || m_condition == ServerCondition::Recovering;
-    if (isUsed && !hasProgress && m_unreachable >= m_limits.unreachableInRow)
+    if (isInService && !hasProgress && m_unreachablePolls >= m_limits.unreachableThreshold)
         startFailing(now);
 }
 
 void ConcurrencyLimiter::recordProgress(Base::TimePoint now)
 {
-    m_progressAt = now;
+    m_lastProgressAt = now;
 }
 
 void ConcurrencyLimiter::setPeersFirstToken(std::optional<Base::Duration> firstToken)
 {
-    m_peersFirstToken = firstToken;
+    m_peerFirstToken = firstToken;
 }
 
 void ConcurrencyLimiter::advance(std::size_t inUse, Base::TimePoint now)
 {
-    noteUse(inUse, now);
+    updateInUse(inUse, now);
     if (m_condition == ServerCondition::Failing) {
         if (now >= m_probeAt)
             startProbing(now);
         return;
     }
-    const Base::Duration patience = std::max(m_limits.stallAfter, stallWholes * m_longestWhole);
-    if (inUse > 0 && now - m_progressAt >= patience) {
+    const Base::Duration stallTime = std::max(m_limits.stallTimeout, stallUseFactor * m_longestUse);
+    if (inUse > 0 && now - m_lastProgressAt >= stallTime) {
         startFailing(now);
         return;
     }
     const bool hasReports = m_lastReport && now - m_reportedAt < m_limits.reportLag;
-    const bool isJudged = m_condition != ServerCondition::Probing && !hasReports;
-    // Without reports only first tokens show a queue, so growth waits for a window of them.
-    if (isJudged && isLagOver(now) && (m_successes >= firstTokensPerWindow || m_isCutDue))
-        judgeRoom(now);
+    const bool isAdjustable = m_condition != ServerCondition::Probing && !hasReports;
+    // Without load reports only first-token times reveal a queue, so growth waits for a full
+    // window of them.
+    if (isAdjustable && hasReportLagPassed(now)
+        && (m_successesSinceChange >= firstTokensPerWindow || m_isSlowCutPending))
+        adjustWithoutQueue(now);
 }
 
 std::size_t ConcurrencyLimiter::headroom(std::size_t running)
 {
-    return std::max<std::size_t>(1, running / runningPerHeadroom);
+    return std::max<std::size_t>(1, running / headroomDivisor);
 }
 
-void ConcurrencyLimiter::noteUse(std::size_t inUse, Base::TimePoint now)
+void ConcurrencyLimiter::updateInUse(std::size_t inUse, Base::TimePoint now)
 {
     if (inUse >= m_limit)
-        m_isBinding = true;
-    // The first use may come with the first call: the time before it is no standstill.
-    if (inUse == 0 || m_progressAt == Base::TimePoint{})
-        m_progressAt = now;
+        m_wasLimitReached = true;
+    // The time before the first use and the time without any use do not count as a stall.
+    if (inUse == 0 || m_lastProgressAt == Base::TimePoint{})
+        m_lastProgressAt = now;
 }
 
-void ConcurrencyLimiter::noteFirstToken(const PermitReport &report, Base::TimePoint now)
+void ConcurrencyLimiter::addFirstTokenSample(const PermitReport &report, Base::TimePoint now)
 {
     if (!report.firstToken)
         return;
-    if (!m_bestFirstToken || *report.firstToken < *m_bestFirstToken)
-        m_bestFirstToken = report.firstToken;
-    m_quickest = m_firstTokens == 0 ? *report.firstToken : std::min(m_quickest, *report.firstToken);
-    if (++m_firstTokens >= firstTokensPerWindow)
+    if (!m_baselineFirstToken || *report.firstToken < *m_baselineFirstToken)
+        m_baselineFirstToken = report.firstToken;
+    m_windowMin =
+        m_windowSamples == 0 ? *report.firstToken : std::min(m_windowMin, *report.firstToken);
+    if (++m_windowSamples >= firstTokensPerWindow)
         closeFirstTokenWindow(now);
 }
 
 void ConcurrencyLimiter::closeFirstTokenWindow(Base::TimePoint now)
 {
-    const double best = std::chrono::duration<double>(*m_bestFirstToken).count();
-    const double quickest = std::chrono::duration<double>(m_quickest).count();
-    const double peers =
-        m_peersFirstToken ? std::chrono::duration<double>(*m_peersFirstToken).count() : quickest;
-    m_isSlow = m_quickest > quickFirstToken && quickest > m_limits.slowFactor * best
-               && quickest > m_limits.slowPeerFactor * peers;
-    m_isCutDue = m_isSlow;
-    m_windowFirstToken = m_quickest;
-    const Base::Duration elapsed = std::min(now - m_windowAt, bestMemory);
-    const double part = std::chrono::duration<double>(elapsed) / bestMemory;
-    m_bestFirstToken = std::chrono::duration_cast<Base::Duration>(*m_bestFirstToken * (1 + part));
-    m_windowAt = now;
-    m_firstTokens = 0;
+    const double baseline = std::chrono::duration<double>(*m_baselineFirstToken).count();
+    const double windowMin = std::chrono::duration<double>(m_windowMin).count();
+    const double peerMedian =
+        m_peerFirstToken ? std::chrono::duration<double>(*m_peerFirstToken).count() : windowMin;
+    m_isSlow = m_windowMin > fastFirstToken && windowMin > m_limits.slowFactor * baseline
+               && windowMin > m_limits.slowPeerFactor * peerMedian;
+    m_isSlowCutPending = m_isSlow;
+    m_lastWindowMin = m_windowMin;
+    const Base::Duration elapsed = std::min(now - m_windowStart, baselineRiseTime);
+    const double elapsedPart = std::chrono::duration<double>(elapsed) / baselineRiseTime;
+    m_baselineFirstToken =
+        std::chrono::duration_cast<Base::Duration>(*m_baselineFirstToken * (1 + elapsedPart));
+    m_windowStart = now;
+    m_windowSamples = 0;
 }
 
-void ConcurrencyLimiter::noteSuccess(const PermitReport &report, Base::TimePoint now)
+void ConcurrencyLimiter::handleSuccess(const PermitReport &report, Base::TimePoint now)
 {
-    m_failures = 0;
-    m_progressAt = now;
-    ++m_successes;
-    m_longestWhole = std::max(m_longestWhole - m_longestWhole / longestDrift, report.whole);
-    noteFirstToken(report, now);
+    m_consecutiveFailures = 0;
+    m_lastProgressAt = now;
+    ++m_successesSinceChange;
+    m_longestUse = std::max(m_longestUse - m_longestUse / longestUseDecayDivisor, report.whole);
+    addFirstTokenSample(report, now);
     if (isHealthy() || m_condition == ServerCondition::Recovering)
         return;
     m_condition = ServerCondition::Recovering;
     m_probeAt = std::min(m_probeAt, now);
-    setLimit(m_limits.smallest, now);
+    setLimit(m_limits.minLimit, now);
 }
 
-void ConcurrencyLimiter::noteFailure(const PermitReport &report, Base::TimePoint now)
+void ConcurrencyLimiter::handleFailure(const PermitReport &report, Base::TimePoint now)
 {
     if (now - report.whole < m_probeAt)
         return;
-    ++m_failures;
-    if (m_condition == ServerCondition::Probing || m_failures >= m_limits.failuresInRow)
+    ++m_consecutiveFailures;
+    if (m_condition == ServerCondition::Probing
+        || m_consecutiveFailures >= m_limits.failureThreshold)
         startFailing(now);
 }
 
@@ -197,92 +207,93 @@
     if (isHealthy())
         m_limitBeforeFailing = m_limit;
     m_condition = ServerCondition::Failing;
-    m_probeAt = now + m_probeAfter;
-    m_probeAfter = std::min(2 * m_probeAfter, m_limits.longestProbeAfter);
-    m_failures = 0;
-    m_unreachable = 0;
-    m_progressAt = now;
+    m_probeAt = now + m_probeDelay;
+    m_probeDelay = std::min(2 * m_probeDelay, m_limits.maxProbeDelay);
+    m_consecutiveFailures = 0;
+    m_unreachablePolls = 0;
+    m_lastProgressAt = now;
 }
 
 void ConcurrencyLimiter::startProbing(Base::TimePoint now)
 {
     m_condition = ServerCondition::Probing;
     m_probeAt = now;
-    m_progressAt = now;
+    m_lastProgressAt = now;
 }
 
-bool ConcurrencyLimiter::isCaughtUp(const LoadReport &report) const
+bool ConcurrencyLimiter::reflectsLastGrowth(const LoadReport &report) const
 {
-    const std::size_t missing = std::max<std::size_t>(1, m_limit / limitPerMissing);
-    return m_wasGrowth && report.running + report.queued + missing >= m_limit;
+    const std::size_t tolerance = std::max<std::size_t>(1, m_limit / reportToleranceDivisor);
+    return m_wasLastChangeGrowth && report.running + report.queued + tolerance >= m_limit;
 }
 
-bool ConcurrencyLimiter::isLagOver(Base::TimePoint now) const
+bool ConcurrencyLimiter::hasReportLagPassed(Base::TimePoint now) const
 {
-    return now - m_changedAt >= m_limits.reportLag;
+    return now - m_limitChangedAt >= m_limits.reportLag;
 }
 
-/// A queue in one report may be work that arrived in that moment; in two it stands.
-void ConcurrencyLimiter::judgeQueue(const LoadReport &report, Base::TimePoint now)
+/// Cuts the limit only for a queue that two consecutive reports show: a queue in a single report
+/// may be work that had just arrived.
+void ConcurrencyLimiter::cutForQueue(const LoadReport &report, Base::TimePoint now)
 {
-    m_step = std::max<std::size_t>(1, m_limit / limitPerStep);
-    if (!m_lastReport || !(isCaughtUp(report) || isLagOver(now)))
+    m_growthStep = std::max<std::size_t>(1, m_limit / growthStepDivisor);
+    if (!m_lastReport || !(reflectsLastGrowth(report) || hasReportLagPassed(now)))
         return;
     const std::size_t running = std::max(report.running, m_lastReport->running);
     const std::size_t queued = std::min(report.queued, m_lastReport->queued);
-    const std::size_t allowed = headroom(running);
-    if (queued <= allowed)
+    const std::size_t allowedQueue = headroom(running);
+    if (queued <= allowedQueue)
         return;
-    const std::size_t tooMany = std::min(m_limit, queued - allowed);
-    const std::size_t cut = std::max(running + allowed, m_limit - tooMany);
-    if (cut < m_limit)
-        setLimit(cut, now);
+    const std::size_t excess = std::min(m_limit, queued - allowedQueue);
+    const std::size_t newLimit = std::max(running + allowedQueue, m_limit - excess);
+    if (newLimit < m_limit)
+        setLimit(newLimit, now);
 }
 
-/// Called when nothing is queued and the last change had its effect.
-void ConcurrencyLimiter::judgeRoom(Base::TimePoint now)
+/// Adjusts the limit when nothing is queued and the last change has taken effect.
+void ConcurrencyLimiter::adjustWithoutQueue(Base::TimePoint now)
 {
-    if (m_isCutDue) {
-        m_isCutDue = false;
-        m_step = 1;
-        setLimit(m_limit - m_limit / limitPerRecovery, now);
+    if (m_isSlowCutPending) {
+        m_isSlowCutPending = false;
+        m_growthStep = 1;
+        setLimit(m_limit - m_limit / recoveryDivisor, now);
         return;
     }
     if (m_isSlow)
         return;
     if (m_condition == ServerCondition::Recovering)
         recover(now);
-    else if (m_isBinding)
+    else if (m_wasLimitReached)
         grow(now);
 }
 
 void ConcurrencyLimiter::recover(Base::TimePoint now)
 {
-    if (m_successes == 0)
+    if (m_successesSinceChange == 0)
         return;
-    setLimit(m_limit + std::max<std::size_t>(1, m_limit / limitPerRecovery), now);
+    setLimit(m_limit + std::max<std::size_t>(1, m_limit / recoveryDivisor), now);
     if (m_limit < m_limitBeforeFailing)
         return;
     m_condition = ServerCondition::Healthy;
-    m_probeAfter = m_limits.firstProbeAfter;
-    m_step = 1;
+    m_probeDelay = m_limits.initialProbeDelay;
+    m_growthStep = 1;
 }
 
 void ConcurrencyLimiter::grow(Base::TimePoint now)
 {
-    const std::size_t step = m_step;
+    const std::size_t step = m_growthStep;
     setLimit(m_limit + step, now);
-    m_step = std::min(2 * step, m_limit);
+    m_growthStep = std::min(2 * step, m_limit);
 }
 
 void ConcurrencyLimiter::setLimit(std::size_t limit, Base::TimePoint now)
 {
-    const std::size_t bounded = std::clamp(limit, m_limits.smallest, m_limits.largest);
-    m_wasGrowth = bounded >= m_limit;
+    const std::size_t bounded = std::clamp(limit, m_limits.minLimit, m_limits.largest);
+    m_wasLastChangeGrowth = bounded >= m_limit;
     m_limit = bounded;
-    m_changedAt = now;
-    m_isBinding = false;
-    m_successes = 0;
+    m_limitChangedAt = now;
+    m_wasLimitReached = false;
+    m_successesSinceChange = 0;
 }
 
 } // namespace Scheduling
--- a/src/libs/scheduling/concurrencylimiter.h
+++ b/src/libs/scheduling/concurrencylimiter.h
@@ -10,125 +10,135 @@
 
 namespace Scheduling {
 
-/// How one permit's use of a backend server ended.
+/// How the use of one permit at a backend server ended.
 enum class PermitOutcome {
-    Completed, ///< The answer came whole.
-    Cancelled, ///< The caller left; says nothing about the server.
-    NotUsed,   ///< Nothing was sent.
-    Failed,    ///< Refused, cut or timed out.
+    Completed, ///< The whole answer was received.
+    Cancelled, ///< The caller disconnected. This says nothing about the server.
+    NotUsed,   ///< Nothing was sent to the server.
+    Failed,    ///< The server refused the work, or the answer was cut or timed out.
 };
 
-/// What one permit's use showed of the server.
+/// What the use of one permit shows about the server.
 struct PermitReport
 {
     PermitOutcome outcome = PermitOutcome::Completed;
-    /// From sending to the first token; empty if there was none.
+    /// Time from sending to the first token; empty if there was none.
     std::optional<Base::Duration> firstToken;
+    /// Time from sending to the end of the use.
     Base::Duration whole{0};
+    /// Service received, in weighted tokens.
     Base::ServiceUnits served = 0;
 };
 
-/// A server's own report; it lags.
+/// A server's own load report. It shows the load of up to ConcurrencyLimits::reportLag ago.
 struct LoadReport
 {
     std::size_t running = 0;
-    /// Admitted by the server but not begun.
+    /// Requests that the server accepted but has not begun.
     std::size_t queued = 0;
 };
 
-/// Thresholds of the limiter; docs/design/concurrency-limit.md has the measurements.
+/// Thresholds of the limiter. docs/design/concurrency-limit.md derives them.
 struct ConcurrencyLimits
 {
-    /// Permits of a server not known yet. Few engines run less; the limit doubles from here.
+    /// Limit of a server that is not known yet. Few engines run fewer requests at a time; the
+    /// limit doubles from here.
     std::size_t initial = 8;
-    std::size_t smallest = 1;
+    std::size_t minLimit = 1;
     std::size_t largest = 256;
-    /// Longest lag of a load report. A change of the limit that no report has shown is judged
-    /// after this time at the latest.
+    /// Longest lag of a load report. The effect of a change of the limit that no report has
+    /// shown is evaluated after this time at the latest.
     Base::Duration reportLag = std::chrono::milliseconds(2000);
-    /// A server is slow when even the quickest first token since the last decision took this
-    /// many times the best known. Prompts of other lengths vary the quickest of several far
-    /// less than that.
+    /// A server is slow when even the minimum of a window of first-token times exceeds the
+    /// server's baseline by this factor. Different prompt lengths change the minimum of several
+    /// times by far less.
     double slowFactor = 4;
-    /// And this many times that of its peers: when all are slow it is the work that is long,
-    /// and nothing is gained by sending it elsewhere.
+    /// In addition, the minimum must exceed the median of the pool's servers by this factor.
+    /// When all servers are slow the work is long, and nothing is gained by sending it elsewhere.
     double slowPeerFactor = 2;
-    /// Failures without a success between them that make a server failing. One may be chance
-    /// or a restart; three in a row are one in a thousand when a tenth fails.
-    std::size_t failuresInRow = 3;
-    /// Load polls in a row that found the server out of reach, to the same end.
-    std::size_t unreachableInRow = 3;
-    /// Without any progress for this long under permits in use, a server counts as frozen.
-    Base::Duration stallAfter = std::chrono::seconds(30);
-    /// Pause before the first probe of a failing server; doubled after each probe that fails.
-    Base::Duration firstProbeAfter = std::chrono::milliseconds(1000);
-    Base::Duration longestProbeAfter = std::chrono::milliseconds(30000);
+    /// Consecutive failures after which a server is Failing. A single one may be chance or a
+    /// restart; when a tenth of the requests fails, three in a row have a probability of one in
+    /// a thousand.
+    std::size_t failureThreshold = 3;
+    /// Consecutive load polls that do not reach the server after which it is Failing.
+    std::size_t unreachableThreshold = 3;
+    /// A server with permits in use that makes no progress for this long counts as frozen.
+    Base::Duration stallTimeout = std::chrono::seconds(30);
+    /// Pause before the first probe of a failing server; it doubles after each failed probe.
+    Base::Duration initialProbeDelay = std::chrono::milliseconds(1000);
+    Base::Duration maxProbeDelay = std::chrono::milliseconds(30000);
 };
 
 enum class ServerCondition {
     Healthy,
-    Failing,    ///< Gets no permits until the next probe.
-    Probing,    ///< Gets one permit at a time.
-    Recovering, ///< A probe succeeded; the limit rises slowly to where it was.
+    Failing,    ///< The server gets no permits until the next probe.
+    Probing,    ///< The server gets one permit at a time.
+    Recovering, ///< A probe succeeded; the limit rises slowly to its value before the failure.
 };
 
 /// Learns how many permits one backend server can use at a time.
 ///
-/// Load pattern: servers of unknown and changing size (an engine's batch shrinks with long
-/// prompts), slow ones and frozen ones, seen through reports that lag. A limit too large fills
-/// the server's own queue, where no class and no customer goes first; one too small idles a
-/// server while work waits.
+/// The size of a server is unknown and changes (the batch of an engine shrinks with long
+/// prompts), servers get slow or freeze, and their load reports lag. A limit that is too high
+/// fills the server's own queue, which knows no priority of classes or customers; a limit that
+/// is too low leaves a server idle while work waits.
 ///
-/// A report with work queued shows the server's size directly: it then runs as many as it can.
-/// So a cut takes away what is queued too much and never goes below what ran, and reports older
-/// than the cut repeat it without harm; this is why lag cannot make the limit swing. Growth
-/// needs the limit to bind, and a report that shows the server with the present limit in use
-/// and nothing queued; its steps double until a queue is seen, and start small after that. A
-/// small queue is kept on purpose (headroom()): it covers the time from a slot's end to the
-/// next arrival. First-token times judge what reports cannot show, a server that runs all it is
-/// given but slowly: the quickest of several, against the best known and against the peers.
+/// - Decrease: a report with queued work shows the size of the server directly, because the
+///   server then runs as much as it can. A cut removes the excess of the queue and never goes
+///   below the number of running requests. Reports from before the cut lead to the same value
+///   again, so the report lag cannot make the limit oscillate.
+/// - Increase: the limit grows only after all permits were in use and a report shows the server
+///   with the current limit in use and nothing queued. Growth steps double until a queue is
+///   seen and start small after that.
+/// - Headroom: a small queue (headroom()) is allowed on purpose. It covers the time from the end
+///   of one request to the arrival of the next.
+/// - Slowness: first-token times reveal what reports cannot show, a server that runs everything
+///   it is given, but slowly. The minimum of several times is compared with the server's own
+///   baseline and with the median of the pool's servers.
 class ConcurrencyLimiter
 {
 public:
     /// Fails with InvalidPolicy.
     static Base::Result<ConcurrencyLimiter> create(const ConcurrencyLimits &limits);
 
-    /// Permits that may be in use at a time; 0 while the server is failing.
+    /// Number of permits that may be in use at a time; 0 while the server is failing.
     std::size_t limit() const;
     ServerCondition condition() const { return m_condition; }
-    /// Whether the server is as good as any; false while failing, probed or recovering.
+    /// Whether the server is fully in service, that is, neither failing, probing nor recovering.
     bool isHealthy() const { return m_condition == ServerCondition::Healthy; }
 
-    /// A permit ended; \a inUse counts it still.
+    /// Records the end of a permit. \a inUse still counts this permit.
     void recordPermit(const PermitReport &report, std::size_t inUse, Base::TimePoint now);
+    /// Records the result of a load poll.
     void recordLoad(const LoadReport &report, Base::TimePoint now);
-    /// A load poll did not reach the server.
+    /// Records that a load poll did not reach the server.
     void recordUnreachable(Base::TimePoint now);
-    /// Part of an answer came.
+    /// Records that a part of an answer arrived.
     void recordProgress(Base::TimePoint now);
-    /// Quickest first token in the last window; empty before the first window is full.
-    std::optional<Base::Duration> quickestFirstToken() const { return m_windowFirstToken; }
-    /// The median of quickestFirstToken() over the pool's servers; empty when there is only
-    /// one, and then no slowness is found: there is nowhere else to send the work.
+    /// Shortest time to first token in the last full window; empty before the first is full.
+    std::optional<Base::Duration> quickestFirstToken() const { return m_lastWindowMin; }
+    /// Sets the median of minTimeToFirstToken() over the pool's servers. It is empty for a
+    /// single server; slowness is then not detected because there is no other server to use.
     void setPeersFirstToken(std::optional<Base::Duration> firstToken);
-    /// Moves time-driven state on: probes, frozen servers, growth without reports.
+    /// Handles what depends on time: probes, frozen servers, and growth without load reports.
     void advance(std::size_t inUse, Base::TimePoint now);
 
 private:
     explicit ConcurrencyLimiter(const ConcurrencyLimits &limits);
 
+    /// Number of queued requests that is allowed beside \a running ones.
     static std::size_t headroom(std::size_t running);
-    void noteUse(std::size_t inUse, Base::TimePoint now);
-    void noteFirstToken(const PermitReport &report, Base::TimePoint now);
+    void updateInUse(std::size_t inUse, Base::TimePoint now);
+    void addFirstTokenSample(const PermitReport &report, Base::TimePoint now);
     void closeFirstTokenWindow(Base::TimePoint now);
-    void noteSuccess(const PermitReport &report, Base::TimePoint now);
-    void noteFailure(const PermitReport &report, Base::TimePoint now);
+    void handleSuccess(const PermitReport &report, Base::TimePoint now);
+    void handleFailure(const PermitReport &report, Base::TimePoint now);
     void startFailing(Base::TimePoint now);
     void startProbing(Base::TimePoint now);
-    bool isCaughtUp(const LoadReport &report) const;
-    bool isLagOver(Base::TimePoint now) const;
-    void judgeQueue(const LoadReport &report, Base::TimePoint now);
-    void judgeRoom(Base::TimePoint now);
+    bool reflectsLastGrowth(const LoadReport &report) const;
+    bool hasReportLagPassed(Base::TimePoint now) const;
+    void cutForQueue(const LoadReport &report, Base::TimePoint now);
+    void adjustWithoutQueue(Base::TimePoint now);
     void recover(Base::TimePoint now);
     void grow(Base::TimePoint now);
     void setLimit(std::size_t limit, Base::TimePoint now);
@@ -137,37 +147,41 @@
     ServerCondition m_condition = ServerCondition::Healthy;
 
     std::size_t m_limit;
-    /// What the next growth adds.
-    std::size_t m_step;
-    Base::TimePoint m_changedAt{};
-    bool m_wasGrowth = true;
-    /// Whether all permits were in use at some time since the last change.
-    bool m_isBinding = false;
+    /// Amount by which the next growth raises the limit.
+    std::size_t m_growthStep;
+    Base::TimePoint m_limitChangedAt{};
+    bool m_wasLastChangeGrowth = true;
+    /// Whether all permits have been in use at some time since the last change of the limit.
+    bool m_wasLimitReached = false;
 
     std::optional<LoadReport> m_lastReport;
     Base::TimePoint m_reportedAt{};
 
-    std::optional<Base::Duration> m_bestFirstToken;
-    /// The quickest of the window that is open, and of the last one closed.
-    Base::Duration m_quickest{0};
-    std::optional<Base::Duration> m_windowFirstToken;
-    std::optional<Base::Duration> m_peersFirstToken;
-    std::size_t m_firstTokens = 0;
-    Base::TimePoint m_windowAt{};
+    /// Shortest time to first token known, raised over time (see baselineRiseTime).
+    std::optional<Base::Duration> m_baselineFirstToken;
+    /// Minimum of the open window.
+    Base::Duration m_windowMin{0};
+    /// Minimum of the last full window.
+    std::optional<Base::Duration> m_lastWindowMin;
+    std::optional<Base::Duration> m_peerFirstToken;
+    std::size_t m_windowSamples = 0;
+    Base::TimePoint m_windowStart{};
     bool m_isSlow = false;
-    /// Whether a verdict of slowness has not led to a cut yet.
-    bool m_isCutDue = false;
+    /// Whether the server was found slow and the limit has not been cut for it yet.
+    bool m_isSlowCutPending = false;
 
-    std::size_t m_failures = 0;
-    std::size_t m_unreachable = 0;
+    std::size_t m_consecutiveFailures = 0;
+    std::size_t m_unreachablePolls = 0;
     Base::TimePoint m_unreachableSince{};
-    std::size_t m_successes = 0;
+    std::size_t m_successesSinceChange = 0;
     std::size_t m_limitBeforeFailing = 0;
-    Base::Duration m_probeAfter;
-    /// Failures of uses sent before this say nothing of the server as it is now.
+    Base::Duration m_probeDelay;
+    /// When the next probe is due, or when the last one began. Failures of requests sent before
+    /// say nothing about the current state of the server.
     Base::TimePoint m_probeAt{};
-    Base::TimePoint m_progressAt{};
-    Base::Duration m_longestWhole{0};
+    Base::TimePoint m_lastProgressAt{};
+    /// Longest use of a permit, reduced a little with each use.
+    Base::Duration m_longestUse{0};
 };
 
 } // namespace Scheduling
--- a/tests/auto/scheduling/tst_concurrencylimiter.cpp
+++ b/tests/auto/scheduling/tst_concurrencylimiter.cpp
@@ -25,8 +25,9 @@
 
 TEST_CASE("the limit keeps any engine full and its queue short", "[scheduling]")
 {
-    // Answers start late although half the servers have room: the limit swings between too
-    // many and too few, since each report shows what the last change but one had done.
+    // Guards against a limit that oscillates between too many and too few permits because each
+    // load report shows the effect of an earlier change than the last one. Answers then start
+    // late although half of the servers have free slots.
     rc::prop("for any size, answer time, lag and noise; also when the size changes", [] {
         const EngineShape shape = anyShape();
         EngineModel server(shape);
@@ -51,10 +52,11 @@
     CHECK(server.utilisation() >= 0.98);
 }
 
-TEST_CASE("a frozen server is given up, probed one at a time and taken back slowly", "[scheduling]")
+TEST_CASE("a frozen server gets no work, is probed with one request at a time and recovers slowly",
+          "[scheduling]")
 {
-    // Every tenth caller waits half a minute for nothing: one engine hangs, has all its permits
-    // in use and, as the emptiest, is given each new one that frees.
+    // Guards against an engine that hangs with all its permits in use and, because it looks least
+    // loaded, is given each permit that becomes free. Its callers wait half a minute in vain.
     EngineModel server({1, 32, 500, 400, 4, 0});
     server.run(20000);
     const std::size_t before = server.limiter.limit();
@@ -89,10 +91,10 @@
     CHECK(server.sent - sent <= 8);
 }
 
-TEST_CASE("failures of old work do not count against a probe", "[scheduling]")
+TEST_CASE("failures of requests sent before a probe do not fail the probe", "[scheduling]")
 {
-    // A server that was mended stays out for minutes: the work cut by its crash times out one
-    // by one, and each time that is taken for a failed probe.
+    // Guards against a repaired server that stays out of service for minutes because the requests
+    // lost in its crash time out one by one and each timeout counts as a failed probe.
     ConcurrencyLimiter limiter = *ConcurrencyLimiter::create({});
     PermitReport failed;
     failed.outcome = PermitOutcome::Failed;
@@ -109,7 +111,8 @@
     CHECK(limiter.condition() == ServerCondition::Failing);
 }
 
-TEST_CASE("a frozen server that still reports its load is found by its silence", "[scheduling]")
+TEST_CASE("a frozen server that still reports its load is detected by its lack of progress",
+          "[scheduling]")
 {
     EngineModel server({1, 32, 500, 400, 4, 0});
     server.run(20000);
@@ -120,21 +123,21 @@
     CHECK(!server.limiter.isHealthy());
 }
 
-TEST_CASE("a slow server without a queue shrinks and comes back", "[scheduling]")
+TEST_CASE("the limit of a slow server without a queue shrinks and recovers", "[scheduling]")
 {
     EngineModel server({1, 64, 300, 400, 4, 0});
     server.run(20000);
     const std::size_t before = server.limiter.limit();
     server.slowness = 12;
     server.shape.slots = 400;
-    // All servers alike: the work has become long, and the server is given as much as before.
+    // All servers are equally slow: the work has become longer, and the limit does not shrink.
     server.limiter.setPeersFirstToken(Milliseconds(600));
     server.run(20000);
     CHECK(server.limiter.limit() >= before);
     server.limiter.setPeersFirstToken(Milliseconds(60));
     server.run(60000);
     CHECK(server.limiter.limit() < before / 2);
-    // A moment's slowness is one cut, however many answers of that moment end later.
+    // A short slow phase causes a single cut, however many of its answers end later.
     EngineModel brief({1, 64, 300, 400, 4, 0});
     brief.limiter.setPeersFirstToken(Milliseconds(60));
     brief.run(20000);
@@ -151,17 +154,17 @@
     CHECK(server.utilisation() >= 0.98);
 }
 
-TEST_CASE("a server used at once is not taken for frozen", "[scheduling]")
+TEST_CASE("a server that is used from the first moment does not count as frozen", "[scheduling]")
 {
-    // Callers wait half a minute beside idle servers: the first request makes a home and uses a
-    // permit in the same step, and the time without progress is counted from the clock's start,
-    // which is when the host was booted.
+    // Guards against counting the time without progress from the start of the clock, which is when
+    // the host was booted. The first request creates the limiter and uses a permit in the same
+    // step; callers would then wait half a minute while servers are idle.
     auto created = ConcurrencyLimiter::create(ConcurrencyLimits());
     REQUIRE(created);
     const Base::TimePoint longAfterBoot = Base::TimePoint{} + std::chrono::hours(100);
     created->advance(1, longAfterBoot);
     CHECK(created->isHealthy());
     CHECK(created->limit() == ConcurrencyLimits().initial);
-    created->advance(1, longAfterBoot + ConcurrencyLimits().stallAfter);
+    created->advance(1, longAfterBoot + ConcurrencyLimits().stallTimeout);
     CHECK_FALSE(created->isHealthy());
 }
