--- a/src/libs/scheduling/serverselector.cpp
+++ b/src/libs/scheduling/serverselector.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-double load(const ServerChoice &choice)
+double utilisation(const ServerChoice &candidate)
 {
-    return static_cast<double>(choice.inUse) / static_cast<double>(choice.limit);
+    return static_cast<double>(candidate.inUse) / static_cast<double>(candidate.limit);
 }
 
-double onePermit(const ServerChoice &choice)
+double utilisationOfOnePermit(const ServerChoice &candidate)
 {
-    return 1.0 / static_cast<double>(choice.limit);
+    return 1.0 / static_cast<double>(candidate.limit);
 }
 
 } // namespace
@@ -23,29 +23,31 @@
     : m_policy(policy)
 {}
 
-std::optional<std::size_t> ServerSelector::choose(const std::vector<ServerChoice> &choices,
+std::optional<std::size_t> ServerSelector::choose(const std::vector<ServerChoice> &candidates,
                                                   std::uint64_t prefix, Base::TimePoint now) const
 {
-    double least = std::numeric_limits<double>::infinity();
-    for (const ServerChoice &choice : choices)
-        least = std::min(least, load(choice));
+    double leastUtilisation = std::numeric_limits<double>::infinity();
+    for (const ServerChoice &candidate : candidates)
+        leastUtilisation = std::min(leastUtilisation, utilisation(candidate));
     std::optional<std::size_t> best;
     std::optional<std::size_t> bestHolder;
-    const auto isBetter = [&choices](std::size_t i, const std::optional<std::size_t> &other) {
+    const auto isBetter = [&candidates](std::size_t i, const std::optional<std::size_t> &other) {
         if (!other)
             return true;
-        if (choices[i].isSameZone != choices[*other].isSameZone)
-            return choices[i].isSameZone;
-        return load(choices[i]) < load(choices[*other]);
+        if (candidates[i].isSameZone != candidates[*other].isSameZone)
+            return candidates[i].isSameZone;
+        return utilisation(candidates[i]) < utilisation(candidates[*other]);
     };
-    for (std::size_t i = 0; i < choices.size(); ++i) {
-        const ServerChoice &choice = choices[i];
-        if (load(choice) < least + onePermit(choice) && isBetter(i, best))
+    for (std::size_t i = 0; i < candidates.size(); ++i) {
+        const ServerChoice &candidate = candidates[i];
+        if (utilisation(candidate) < leastUtilisation + utilisationOfOnePermit(candidate)
+            && isBetter(i, best))
             best = i;
-        const bool isNear = load(choice) <= least + m_policy.loadMargin;
-        if (!isNear || !isHolder(prefix, choice.server, now))
+        const bool isWithinMargin =
+            utilisation(candidate) <= leastUtilisation + m_policy.loadMargin;
+        if (!isWithinMargin || !isHolder(prefix, candidate.server, now))
             continue;
-        if (!bestHolder || load(choice) < load(choices[*bestHolder]))
+        if (!bestHolder || utilisation(candidate) < utilisation(candidates[*bestHolder]))
             bestHolder = i;
     }
     return bestHolder ? bestHolder : best;
@@ -59,16 +61,16 @@
     const auto [it, isNew] = m_prefixes.try_emplace(prefix);
     Prefix &entry = it->second;
     if (isNew)
-        entry.age = m_ages.insert(m_ages.end(), prefix);
+        entry.ageIt = m_prefixesByAge.insert(m_prefixesByAge.end(), prefix);
     else
-        m_ages.splice(m_ages.end(), m_ages, entry.age);
+        m_prefixesByAge.splice(m_prefixesByAge.end(), m_prefixesByAge, entry.ageIt);
     std::vector<Holder> &holders = entry.holders;
     std::erase_if(holders, [&server](const Holder &holder) { return holder.server == server; });
     holders.push_back({server, now});
-    if (holders.size() > m_policy.largestHolders)
+    if (holders.size() > m_policy.maxHolders)
         holders.erase(holders.begin());
-    if (m_prefixes.size() > m_policy.largestPrefixes)
-        forgetPrefix(m_ages.front());
+    if (m_prefixes.size() > m_policy.maxPrefixes)
+        forgetPrefix(m_prefixesByAge.front());
 }
 
 void ServerSelector::recordCacheEvent(const Base::ServerId &server, std::uint64_t prefix,
@@ -82,10 +84,10 @@
     if (it == m_prefixes.end())
         return;
     const Base::Duration lag = m_policy.eventLag;
-    const bool isOlder = std::any_of(
+    const bool isRecentlyUsed = std::any_of(
         it->second.holders.begin(), it->second.holders.end(),
         [&](const Holder &holder) { return holder.server == server && now - holder.usedAt < lag; });
-    if (!isOlder)
+    if (!isRecentlyUsed)
         forgetHolder(prefix, server);
 }
 
@@ -123,7 +125,7 @@
 void ServerSelector::forgetPrefix(std::uint64_t prefix)
 {
     const auto it = m_prefixes.find(prefix);
-    m_ages.erase(it->second.age);
+    m_prefixesByAge.erase(it->second.ageIt);
     m_prefixes.erase(it);
 }
 
--- a/src/libs/scheduling/serverselector.h
+++ b/src/libs/scheduling/serverselector.h
@@ -22,33 +22,39 @@
     bool isSameZone = false;
 };
 
-/// Thresholds of prefix affinity; docs/design/placement.md has the measurements.
+/// Thresholds of prefix affinity, the preference for a server whose cache may hold the beginning of
+/// the prompt. docs/design/placement.md derives them.
 struct AffinityPolicy
 {
-    /// A server that may hold the prefix is preferred while the used part of its limit is at
-    /// most this much above the least used server's. Computing a prompt anew costs about as
-    /// much as a quarter more load costs the other streams of a batch.
+    /// A server that may hold the prefix is preferred while its utilisation (permits in use
+    /// divided by the limit) is at most this much above that of the least used server.
+    /// Computing a prompt again costs about as much as a quarter more load costs the other
+    /// streams of a batch.
     double loadMargin = 0.25;
-    /// Prefixes remembered; the one used longest ago goes first. About 1.5 MB.
-    std::size_t largestPrefixes = 8192;
-    /// Servers remembered for one prefix. More copies than this are as good as everywhere.
-    std::size_t largestHolders = 4;
-    /// A hint older than this is forgotten: the event of its eviction was lost.
+    /// Number of prefixes remembered, about 1.5 MB. The least recently used one is evicted
+    /// first.
+    std::size_t maxPrefixes = 8192;
+    /// Number of servers remembered for one prefix. A prefix with more copies is as good as
+    /// present everywhere.
+    std::size_t maxHolders = 4;
+    /// A hint older than this is ignored because the event of the eviction was probably lost.
     Base::Duration hintLifetime = std::chrono::minutes(5);
-    /// An eviction told within this time of a use speaks of an older copy: events come late.
+    /// An eviction event within this time after a use is taken to concern an older copy,
+    /// because events arrive late.
     Base::Duration eventLag = std::chrono::seconds(5);
 };
 
-/// Picks the server that a piece of work goes to.
+/// Selects the server that a piece of work is sent to.
 ///
-/// Load pattern: a few prompts' beginnings make up most of the load. Spread evenly, each is
-/// computed at every server and pushes the others out of the caches; sent strictly to its
-/// holder, the most used one crowds one server while others idle. So the holder is preferred
-/// only within AffinityPolicy::loadMargin of the least used server.
+/// A few prefixes (beginnings of prompts) make up most of the load. If their requests were spread
+/// evenly, each prefix would be computed at every server and evict the others from the caches. If
+/// they were sent only to a holder, a server that has the prefix in its cache, the most used
+/// prefix would overload one server while others idle. The selector therefore prefers a holder,
+/// but only within AffinityPolicy::loadMargin of the least used server.
 ///
-/// What is remembered of caches is a hint and never a promise: a wrong one costs computing the
-/// prompt anew. Cache events are late and have gaps, so an eviction just after a use is not
-/// believed, and a hint that nothing renews is dropped.
+/// The selector's knowledge of the caches is a hint: a wrong hint costs computing the prompt
+/// again. Cache events are late and some are lost, so an eviction event shortly after a use is
+/// ignored, and a hint that is not renewed expires.
 class ServerSelector
 {
 public:
@@ -59,17 +65,19 @@
     ServerSelector &operator=(const ServerSelector &) = delete;
     ~ServerSelector() = default;
 
-    /// Index into \a choices; empty when there is none. \a prefix is 0 for work without one.
-    /// Among servers within one permit of the least used, the same zone wins.
-    std::optional<std::size_t> choose(const std::vector<ServerChoice> &choices,
+    /// Returns the index of the selected server in \a candidates, or nothing if \a candidates is
+    /// empty. \a prefix is the hash of the prompt's beginning, 0 for work without one. If no
+    /// holder is selected, a server in the same availability zone is preferred among those within
+    /// one permit of the least used server.
+    std::optional<std::size_t> choose(const std::vector<ServerChoice> &candidates,
                                       std::uint64_t prefix, Base::TimePoint now) const;
-    /// Notes that work with \a prefix was sent to \a server.
+    /// Records that work with \a prefix was sent to \a server.
     void recordPrefix(std::uint64_t prefix, const Base::ServerId &server, Base::TimePoint now);
-    /// Notes what \a server published of its cache.
+    /// Records an event of the cache of \a server: \a prefix was stored or evicted.
     void recordCacheEvent(const Base::ServerId &server, std::uint64_t prefix, bool isStored,
                           Base::TimePoint now);
     void forgetServer(const Base::ServerId &server);
-    std::size_t rememberedPrefixes() const { return m_prefixes.size(); }
+    std::size_t prefixCount() const { return m_prefixes.size(); }
 
 private:
     struct Holder
@@ -81,7 +89,7 @@
     struct Prefix
     {
         std::vector<Holder> holders;
-        std::list<std::uint64_t>::iterator age;
+        std::list<std::uint64_t>::iterator ageIt;
     };
 
     bool isHolder(std::uint64_t prefix, const Base::ServerId &server, Base::TimePoint now) const;
@@ -90,8 +98,8 @@
 
     AffinityPolicy m_policy;
     std::unordered_map<std::uint64_t, Prefix> m_prefixes;
-    /// The prefix used longest ago first.
-    std::list<std::uint64_t> m_ages;
+    /// The prefixes from the least to the most recently used one.
+    std::list<std::uint64_t> m_prefixesByAge;
 };
 
 } // namespace Scheduling
--- a/tests/auto/scheduling/tst_placement.cpp
+++ b/tests/auto/scheduling/tst_placement.cpp
@@ -62,7 +62,7 @@
     // never told, keeps them from the server that holds their beginning, or ties them to one
     // that does not.
     AffinityPolicy policy;
-    policy.largestPrefixes = 100;
+    policy.maxPrefixes = 100;
     ServerSelector selector(policy);
     const std::vector<ServerChoice> choices{{serverNamed(0), 1, 10, true},
                                             {serverNamed(1), 2, 10, false}};
@@ -79,11 +79,11 @@
         selector.recordPrefix(7, serverNamed(1), at(20000));
         selector.recordPrefix(prefix, serverNamed(0), at(20000));
     }
-    CHECK(selector.rememberedPrefixes() == 100);
+    CHECK(selector.prefixCount() == 100);
     CHECK(selector.choose(choices, 7, at(20000)) == 1);
     selector.forgetServer(serverNamed(1));
     selector.forgetServer(serverNamed(0));
-    CHECK(selector.rememberedPrefixes() == 0);
+    CHECK(selector.prefixCount() == 0);
 }
 
 TEST_CASE("the shares of shards do not swing between heartbeats", "[scheduling]")
