--- a/src/libs/scheduling/retrypolicy.h
+++ b/src/libs/scheduling/retrypolicy.h
@@ -12,38 +12,38 @@
 
 class RetryBudget;
 
-/// What is known of attempts that failed.
+/// What is known about whether failed attempts ran at a server.
 enum class AttemptRan {
-    NeverSent, ///< Not one byte left: it certainly did not run.
-    Refused,   ///< The server said that it did not run it.
+    NeverSent, ///< No byte was sent, so it did not run.
+    Refused,   ///< The server reported that it did not run it.
     MaybeRan,  ///< It was sent, wholly or in part.
 };
 
-/// All that the decision after a failed attempt looks at.
+/// What the decision after a failed attempt depends on.
 struct FailedAttempt
 {
-    /// Of all attempts so far together: MaybeRan once any of them may have run, also if the
-    /// last one, or a try to resume it, was never sent.
+    /// Summarises all attempts so far: MaybeRan once any of them may have run, even if the last
+    /// one, or an attempt to resume it, was never sent.
     AttemptRan ran = AttemptRan::MaybeRan;
     /// Whether the caller marked the work as repeatable.
     bool isRepeatable = true;
-    /// Whether the caller has been given a part of the answer.
+    /// Whether a part of the answer has been sent to the caller.
     bool isAnswerStarted = false;
-    /// Whether the server named a stream that can be resumed. No longer so once a try to resume
-    /// it was refused or did not reach the server.
+    /// Whether the server named a stream that can be resumed. False again after an attempt to
+    /// resume it was refused or did not reach the server.
     bool isStreamResumable = false;
-    /// Attempts at the request so far, the failed one included; resumptions count.
+    /// Number of attempts at the request so far, including the failed one and resumptions.
     std::uint32_t attempts = 1;
-    /// Left of the caller's deadline; empty if it did not say.
+    /// Time left until the caller's deadline; empty if the caller gave none.
     std::optional<Base::Duration> deadlineWithin;
-    /// What the server asked for.
+    /// Pause that the server requested before the next attempt, if it did.
     std::optional<Base::Duration> serverRetryAfter;
 };
 
 enum class RetryStep {
-    Retry,        ///< A new attempt, at any server of the pool.
-    ResumeStream, ///< The same stream at the same server, from the part that is missing.
-    GiveUp,       ///< The failure goes to the caller.
+    Retry,        ///< Make a new attempt at any server of the pool.
+    ResumeStream, ///< Resume the stream at the same server from the first missing part.
+    GiveUp,       ///< Report the failure to the caller.
 };
 
 struct RetryDecision
@@ -55,36 +55,39 @@
 
 struct RetryPolicyLimits
 {
-    /// Attempts at one request, the first included. A third failure is seldom chance.
-    std::uint32_t largestAttempts = 3;
-    /// Upper bound of the pause before the second attempt; doubled with each one more. Short,
-    /// since a retry queues for a permit again and mostly gets another server.
-    Base::Duration firstBackoff = std::chrono::milliseconds(50);
-    Base::Duration longestBackoff = std::chrono::milliseconds(2000);
+    /// Largest number of attempts at one request, including the first. A third failure is
+    /// seldom chance.
+    std::uint32_t maxAttempts = 3;
+    /// Upper bound of the pause before the second attempt; it doubles with each further attempt
+    /// up to maxBackoff. It is short because a retry queues for a permit again and usually gets
+    /// another server.
+    Base::Duration initialBackoff = std::chrono::milliseconds(50);
+    Base::Duration maxBackoff = std::chrono::milliseconds(2000);
 };
 
-/// Decides what follows a failed attempt.
+/// Decides what to do after a failed attempt.
 ///
-/// Load pattern: connections cut, servers restarting or refusing for a moment. Given up at
-/// once, callers see each restart; repeated blindly, work runs twice and load multiplies. So a
-/// new attempt is made only where it is known that nothing ran, or where the work is repeatable
-/// and its caller has seen nothing of the answer; a stream that has begun is only resumed, never
-/// started again, since a second answer would differ from the first. Hedging (a second attempt
-/// before the first has failed) is not done: docs/design/retry-budget.md says why.
+/// Connections are cut, and servers restart or refuse work for a moment. Without retries, callers
+/// would see each restart. With unconditional retries, work would run twice and the load would
+/// multiply. A new attempt is therefore made only if it is known that nothing ran, or if the work
+/// is repeatable and the caller has received nothing of the answer. A stream that has begun is
+/// only resumed, never started again, because a second answer would differ from the first.
+/// Hedging (a second attempt before the first has failed) is not done; see
+/// docs/design/retry-budget.md for the derivation.
 class RetryPolicy
 {
 public:
     /// Fails with InvalidPolicy.
     static Base::Result<RetryPolicy> create(const RetryPolicyLimits &limits);
 
-    /// Takes from \a budget when the step is not to give up.
+    /// Decides the next step. Takes one retry from \a budget unless the step is GiveUp.
     RetryDecision decide(const FailedAttempt &failed, RetryBudget &budget,
                          Base::RandomSource &random) const;
 
 private:
     explicit RetryPolicy(const RetryPolicyLimits &limits);
 
-    static RetryStep permittedStep(const FailedAttempt &failed);
+    static RetryStep allowedStep(const FailedAttempt &failed);
     Base::Duration backoff(const FailedAttempt &failed, Base::RandomSource &random) const;
 
     RetryPolicyLimits m_limits;
