--- a/src/libs/scheduling/retrybudget.h
+++ b/src/libs/scheduling/retrybudget.h
@@ -4,30 +4,33 @@
 
 namespace Scheduling {
 
-/// Thresholds of the budget; docs/design/retry-budget.md has the measurements.
+/// Thresholds of the retry budget. docs/design/retry-budget.md derives them.
 struct RetryBudgetPolicy
 {
-    /// Retries allowed for each first attempt, in the long run. A tenth carries the loss of one
-    /// server in ten at a time, and at worst makes a tenth more load.
+    /// Number of retries allowed per first attempt in the long run. A tenth covers the loss of
+    /// one server in ten at a time and adds at most a tenth to the load.
     double share = 0.1;
-    /// Retries allowed at once after a quiet time: one server's streams of one router.
+    /// Number of retries allowed at once after a time without retries. The default is the number
+    /// of streams that one router has at one server.
     double burst = 10;
 };
 
-/// Bounds the share of retries in all attempts of one router.
+/// Limits the share of retries among all attempts of one router.
 ///
-/// Load pattern: a backend server dies under full load. Retried without bound, each request
-/// comes up to its largest number of attempts, and the servers that are left fail next. Each
-/// router keeps its own budget, so the share holds for the fleet without a message.
+/// When a backend server fails under full load, unlimited retries would send each request up to
+/// its largest number of attempts and overload the remaining servers, which then fail as well.
+/// Each router keeps its own budget, so the limit holds for the whole fleet without any messages.
 class RetryBudget
 {
 public:
     /// Fails with InvalidPolicy.
     static Base::Result<RetryBudget> create(const RetryBudgetPolicy &policy);
 
+    /// Adds the share of one first attempt to the budget, up to the burst.
     void recordFirstAttempt();
-    /// Takes one retry from the budget; false when there is none left.
+    /// Takes one retry from the budget; returns false if none is left.
     bool takeRetry();
+    /// Number of retries left; fractions add up with first attempts.
     double available() const { return m_available; }
 
 private:
--- a/tests/auto/scheduling/tst_retry.cpp
+++ b/tests/auto/scheduling/tst_retry.cpp
@@ -9,9 +9,9 @@
 using namespace SchedulingModels;
 using Base::Milliseconds;
 
-TEST_CASE("nothing runs twice that must not, for any failed attempt", "[scheduling]")
+TEST_CASE("work that must not run twice is not repeated after any failed attempt", "[scheduling]")
 {
-    rc::prop("the step follows from what is known", [] {
+    rc::prop("the step follows from what is known about the attempt", [] {
         FailedAttempt failed;
         failed.ran =
             *rc::gen::element(AttemptRan::NeverSent, AttemptRan::Refused, AttemptRan::MaybeRan);
@@ -24,18 +24,19 @@
         if (*rc::gen::arbitrary<bool>())
             failed.serverRetryAfter = Milliseconds(*rc::gen::inRange(0, 200));
         RetryBudget budget = *RetryBudget::create({0.1, 1});
-        const bool isSpent = *rc::gen::arbitrary<bool>() && budget.takeRetry();
+        const bool isBudgetSpent = *rc::gen::arbitrary<bool>() && budget.takeRetry();
         Base::SeededRandom random(*rc::gen::arbitrary<std::uint64_t>());
         const double before = budget.available();
         const RetryDecision decision = RetryPolicy::create({})->decide(failed, budget, random);
         const bool mayHaveRun = failed.ran == AttemptRan::MaybeRan;
         if (decision.step == RetryStep::GiveUp) {
             RC_ASSERT(budget.available() == before);
-            const bool isHopeless = isSpent || failed.attempts >= 3 || failed.deadlineWithin;
-            const bool isAllowed = failed.isAnswerStarted ? mayHaveRun && failed.isStreamResumable
-                                                          : !mayHaveRun || failed.isStreamResumable
-                                                                || failed.isRepeatable;
-            RC_ASSERT(isHopeless || !isAllowed);
+            const bool mayGiveUp = isBudgetSpent || failed.attempts >= 3 || failed.deadlineWithin;
+            const bool isStepAllowed =
+                failed.isAnswerStarted
+                    ? mayHaveRun && failed.isStreamResumable
+                    : !mayHaveRun || failed.isStreamResumable || failed.isRepeatable;
+            RC_ASSERT(mayGiveUp || !isStepAllowed);
             return;
         }
         RC_ASSERT(budget.available() == before - 1);
@@ -53,25 +54,25 @@
 
 TEST_CASE("retries stay within their share when everything fails", "[scheduling]")
 {
-    // One engine dies on a Saturday and minutes later all have: each caller's request came
-    // three times.
+    // Guards against a cascade: one engine fails, each request is sent three times, and the added
+    // load makes the other engines fail within minutes.
     CHECK(attemptsPerRequest(0.1) <= 1.11);
     CHECK(attemptsPerRequest(1) <= 2.01);
     CHECK(!RetryBudget::create({2, 10}));
     CHECK(!RetryPolicy::create({0}));
 }
 
-TEST_CASE("streams cut together do not come back together", "[scheduling]")
+TEST_CASE("streams cut together are not retried together", "[scheduling]")
 {
     RetryBudget budget = *RetryBudget::create({0.1, 1000});
     const RetryPolicy policy = *RetryPolicy::create({});
     Base::SeededRandom random(20261);
-    std::map<std::int64_t, int> perTenth;
+    std::map<std::int64_t, int> countByTenth;
     for (int i = 0; i < 1000; ++i) {
         const RetryDecision decision = policy.decide({}, budget, random);
-        ++perTenth[decision.after / Milliseconds(5)];
+        ++countByTenth[decision.after / Milliseconds(5)];
     }
-    CHECK(perTenth.size() >= 10);
-    for (const auto &[tenth, n] : perTenth)
+    CHECK(countByTenth.size() >= 10);
+    for (const auto &[tenth, n] : countByTenth)
         CHECK(n < 150);
 }
