--- a/src/libs/scheduling/shardselector.cpp
+++ b/src/libs/scheduling/shardselector.cpp
@@ -9,18 +9,20 @@
 
 constexpr double randomSteps = 1 << 30;
 
-/// Evenly in [0, 1).
-double unit(Base::RandomSource &random)
+/// Returns a random number, evenly distributed in [0, 1).
+double uniformUnit(Base::RandomSource &random)
 {
     return static_cast<double>(random.next() % (1U << 30)) / randomSteps;
 }
 
-std::size_t draw(const std::vector<double> &weights, double sum, Base::RandomSource &random)
+/// Returns a random index into \a weights, with probabilities in proportion to the weights. \a sum
+/// is the sum of the weights.
+std::size_t drawWeighted(const std::vector<double> &weights, double sum, Base::RandomSource &random)
 {
-    double left = unit(random) * sum;
+    double remaining = uniformUnit(random) * sum;
     for (std::size_t i = 0; i + 1 < weights.size(); ++i) {
-        left -= weights[i];
-        if (left < 0)
+        remaining -= weights[i];
+        if (remaining < 0)
             return i;
     }
     return weights.size() - 1;
@@ -35,35 +37,35 @@
 std::uint32_t ShardSelector::choose(const std::vector<ShardSummary> &summaries,
                                     Base::RandomSource &random)
 {
-    const std::vector<double> rates = weights(summaries);
+    const std::vector<double> rates = effectiveRates(summaries);
     const double sum = std::accumulate(rates.begin(), rates.end(), 0.0);
-    const std::size_t one = draw(rates, sum, random);
-    const std::size_t two = draw(rates, sum, random);
-    const double waitOne = predictedWait(summaries[one], rates[one]);
-    const double waitTwo = predictedWait(summaries[two], rates[two]);
-    const std::size_t shorter = waitOne <= waitTwo ? one : two;
-    const std::size_t longer = shorter == one ? two : one;
+    const std::size_t first = drawWeighted(rates, sum, random);
+    const std::size_t second = drawWeighted(rates, sum, random);
+    const double firstWait = predictedWait(summaries[first], rates[first]);
+    const double secondWait = predictedWait(summaries[second], rates[second]);
+    const std::size_t shorter = firstWait <= secondWait ? first : second;
+    const std::size_t longer = shorter == first ? second : first;
     const double damping = std::chrono::duration<double>(m_policy.damping).count();
-    const double certainty = std::min(1.0, std::abs(waitOne - waitTwo) / damping);
-    const std::size_t chosen = unit(random) < (1 + certainty) / 2 ? shorter : longer;
+    const double preference = std::min(1.0, std::abs(firstWait - secondWait) / damping);
+    const std::size_t chosen = uniformUnit(random) < (1 + preference) / 2 ? shorter : longer;
     const ShardSummary &summary = summaries[chosen];
-    Sent &sent = m_sent[summary.shard];
+    SentWork &sent = m_sent[summary.shard];
     if (sent.summaryAt != summary.receivedAt)
         sent = {summary.receivedAt, 0};
     ++sent.count;
     return summary.shard;
 }
 
-std::vector<double> ShardSelector::weights(const std::vector<ShardSummary> &summaries) const
+std::vector<double> ShardSelector::effectiveRates(const std::vector<ShardSummary> &summaries) const
 {
-    double largest = 0;
+    double largestRate = 0;
     for (const ShardSummary &summary : summaries)
-        largest = std::max(largest, summary.drainRate);
-    const double unknown = largest > 0 ? largest * m_policy.unknownRatePart : 1;
+        largestRate = std::max(largestRate, summary.drainRate);
+    const double assumedRate = largestRate > 0 ? largestRate * m_policy.unknownRateFactor : 1;
     std::vector<double> rates;
     rates.reserve(summaries.size());
     for (const ShardSummary &summary : summaries)
-        rates.push_back(summary.drainRate > 0 ? summary.drainRate : unknown);
+        rates.push_back(summary.drainRate > 0 ? summary.drainRate : assumedRate);
     return rates;
 }
 
--- a/src/libs/scheduling/shardselector.h
+++ b/src/libs/scheduling/shardselector.h
@@ -11,46 +11,51 @@
 
 namespace Scheduling {
 
-/// Thresholds of the choice of a shard; docs/design/placement.md has the measurements.
+/// Thresholds of the selection of a shard. docs/design/placement.md derives them.
 struct ShardSelectorPolicy
 {
-    /// A difference in predicted wait of this much makes the shorter of two shards certain;
-    /// smaller ones shift proportionally less. Two heartbeat intervals: in one interval all
-    /// entries together then move about half of the difference, and do not overshoot.
+    /// Difference in predicted wait from which on the shard with the shorter wait is always
+    /// selected. Its advantage is proportionally smaller for smaller differences. The default is
+    /// two heartbeat intervals: in one interval all entry hosts together then move about half of
+    /// the difference and do not overshoot.
     Base::Duration damping = std::chrono::seconds(2);
-    /// Drain rate assumed of a shard that has none yet, as a part of the largest known.
-    double unknownRatePart = 0.25;
+    /// Drain rate assumed for a shard whose rate is unknown, as a fraction of the largest known.
+    double unknownRateFactor = 0.25;
 };
 
-/// Picks the shard of a pool that an entry asks for a permit.
+/// Selects the shard of a pool that an entry host, the host that took the caller's request, asks
+/// for a permit.
 ///
-/// Load pattern: shards of different size and backlog, seen through summaries that all entries
-/// share and that are up to a second old. If each entry took the shard that looks best, all
-/// would take the same until the next heartbeat, and the crowd would jump from shard to shard
-/// with every exchange. So two shards are drawn by drain rate, which alone gives each its due
-/// share, and the one with the shorter predicted wait is preferred only as far as the
-/// difference is larger than what one exchange moves. What this entry sent since the summary
-/// counts as waiting there.
+/// Shards differ in size and backlog, and all entry hosts see the same summaries of them, which are
+/// up to a second old. If each entry host selected the shard that looks best, all would select the
+/// same one until the next heartbeat, and the load would oscillate between shards with every
+/// exchange of heartbeats.
+///
+/// The selector therefore draws two shards at random, weighted by drain rate; this alone gives each
+/// shard a load in proportion to its size. Of the two it prefers the one with the shorter predicted
+/// wait, the more so the larger the difference (see ShardSelectorPolicy::damping). Work that this
+/// entry host sent to a shard since its last summary counts as waiting there.
 class ShardSelector
 {
 public:
     explicit ShardSelector(const ShardSelectorPolicy &policy = {});
 
-    /// The shard to ask. \a summaries must not be empty.
+    /// Returns the shard to ask. \a summaries must not be empty.
     std::uint32_t choose(const std::vector<ShardSummary> &summaries, Base::RandomSource &random);
 
 private:
-    struct Sent
+    /// Number of requests sent to a shard since its summary arrived.
+    struct SentWork
     {
         Base::TimePoint summaryAt;
         std::size_t count = 0;
     };
 
-    std::vector<double> weights(const std::vector<ShardSummary> &summaries) const;
+    std::vector<double> effectiveRates(const std::vector<ShardSummary> &summaries) const;
     double predictedWait(const ShardSummary &summary, double rate) const;
 
     ShardSelectorPolicy m_policy;
-    std::map<std::uint32_t, Sent> m_sent;
+    std::map<std::uint32_t, SentWork> m_sent;
 };
 
 } // namespace Scheduling
