--- a/src/libs/scheduling/handoverplanner.h
+++ b/src/libs/scheduling/handoverplanner.h
@@ -11,27 +11,31 @@
 
 namespace Scheduling {
 
+/// Thresholds of the handover of waiting work between the shards of a pool.
 struct HandoverPolicy
 {
-    /// Work handed over this long before a summary arrived may not be in it yet: a few times
-    /// the way between two homes and the step that made the summary.
-    Base::Duration flightTime = std::chrono::milliseconds(20);
-    /// An ask that was not answered in this time is taken for lost.
-    Base::Duration answerWithin = std::chrono::milliseconds(100);
-    /// An idle home asks for work to fill its free permits and to last this long beyond, so
-    /// that it asks some ten times a second and not with each permit that frees.
-    Base::Duration askAhead = std::chrono::milliseconds(50);
-    /// A home that had nothing to give remembers who asked for so long and hands over what it
-    /// gets in this time; so it is not asked again before. Half a heartbeat interval: longer,
-    /// and the asker's free permits are likely taken by then.
+    /// A summary may not include work that was handed over up to this long before the summary
+    /// arrived. The default is a few times the time that a message takes between two homes and
+    /// the time to make the summary.
+    Base::Duration inFlightTime = std::chrono::milliseconds(20);
+    /// An ask without an answer within this time counts as lost.
+    Base::Duration answerTimeout = std::chrono::milliseconds(100);
+    /// An idle home asks for enough work to use its free permits and the permits that are
+    /// returned in this time, so that it asks about ten times a second and not whenever a permit
+    /// is returned.
+    Base::Duration askLookahead = std::chrono::milliseconds(50);
+    /// A home without waiting work remembers an ask for this long and hands over work that
+    /// arrives in this time, so the asker does not ask it again before. The default is half a
+    /// heartbeat interval; after a longer time the asker's free permits are likely in use.
     Base::Duration askLifetime = std::chrono::milliseconds(500);
-    /// A shard whose summary shows fewer free permits than it gives back in this time may be
-    /// crowded by now, and is asked although no work waited there. A tenth of the heartbeat
-    /// interval: a quiet pool is far from it, and its homes do not ask.
-    Base::Duration nearlyFull = std::chrono::milliseconds(100);
+    /// A shard whose summary shows fewer free permits than are returned there in this time may
+    /// have a backlog by now and is asked even if no work was waiting there. The default is a
+    /// tenth of the heartbeat interval; the shards of a lightly loaded pool have far more free
+    /// permits, so its homes do not ask.
+    Base::Duration nearlyFullTime = std::chrono::milliseconds(100);
 };
 
-/// So many of the work next in order go to another shard of the pool.
+/// Moves the next \a count items in queue order to another shard of the pool.
 struct Handover
 {
     std::uint32_t shard = 0;
@@ -40,73 +44,79 @@
     bool operator==(const Handover &) const = default;
 };
 
-/// Decides how waiting work moves from crowded homes to idle ones.
+/// Decides how waiting work moves from homes with a backlog to idle homes. The home of a pool shard
+/// is the router that queues the shard's work and grants its permits.
 ///
-/// Load pattern: customers spread unevenly, so that one shard of a pool has work waiting while
-/// another has permits free. Without this, capacity idles until new requests happen to go
-/// there.
+/// Customers are spread unevenly, so one shard of a pool may have waiting work while another has
+/// free permits. Without handover that capacity would stay idle until new requests happen to be
+/// sent there.
 ///
-/// A home that runs idle asks: ask() names the home whose last summary shows the most waiting,
-/// or else one that was nearly full, one ask at a time. A summary is older than most idle
-/// times: with answers of half a second, homes that asked only where the summary showed work
-/// left nine tenths of such idle time unused. It is the idle home that knows of its free
-/// permits, so nothing handed rests on a stale number. A home that was asked and had nothing
-/// remembers it: answer() and planForAskers() hand over as soon as work waits there.
+/// Pull: an idle home asks for work, with one ask open at a time. ask() selects the shard whose
+/// last summary shows the most waiting work, or else one that was nearly full. Nearly full shards
+/// are asked because most idle times are shorter than the age of a summary: with answers that take
+/// half a second, asking only shards with waiting work leaves nine tenths of this idle time unused.
+/// The idle home knows its own free permits, so the amount handed over does not depend on an
+/// outdated number. A home that is asked while it has no waiting work remembers the ask: answer()
+/// and planForPendingAsks() hand work over as soon as some waits there.
 ///
-/// A home that becomes crowded need not wait for that: plan() says what it hands to homes whose
-/// last summary showed free permits. All homes see the same summaries, so each computes the
-/// same division of those permits among the crowded homes, in proportion to what waits, and
-/// hands over its own part: together they hand no more than was free. A shard with work of its
-/// own waiting is given none, so work is not handed back and forth; and what was handed and
-/// cannot be in the summary yet is taken off.
+/// Push: a home with a backlog need not wait for an ask. plan() returns what it hands over to
+/// shards whose last summary shows free permits. All homes see the same summaries, so each computes
+/// the same division of those permits among the homes with a backlog, in proportion to their
+/// waiting work, and hands over its own part; together they hand over no more than was free. A
+/// shard with waiting work receives nothing, so work is not handed back and forth. Work that was
+/// handed over and cannot be in the summary yet is subtracted.
 class HandoverPlanner
 {
 public:
     explicit HandoverPlanner(const HandoverPolicy &policy = {});
 
-    /// What the home of \a self hands over now. \a summaries holds every shard of the pool,
-    /// that of \a self as it is now.
+    /// Returns what the home of shard \a self hands over now. \a summaries must hold every shard
+    /// of the pool, with the current state of \a self.
     std::vector<Handover> plan(std::uint32_t self, const std::vector<ShardSummary> &summaries,
                                Base::TimePoint now);
 
-    /// Whom the home of \a self asks for work, and for how much; empty while an ask is open or
-    /// when no shard is known to have work waiting. To be called with no work waiting here and
-    /// \a freePermits above 0; \a drainRate is that of this shard.
+    /// Returns the shard that the home of shard \a self asks for work, and for how much. Empty
+    /// while an ask is open or if no shard is expected to have waiting work. Must only be called
+    /// while no work waits here and \a freePermits is above 0. \a drainRate is that of this
+    /// shard, in permits per second.
     std::optional<Handover> ask(std::uint32_t self, std::size_t freePermits, double drainRate,
                                 const std::vector<ShardSummary> &summaries, Base::TimePoint now);
-    /// \a shard answered the ask with \a count of its work.
+    /// Records that \a shard answered the open ask with \a count items of work.
     void recordAnswer(std::uint32_t shard, std::size_t count, Base::TimePoint now);
-    /// How much of \a waiting work to hand to \a asker, which asked for \a asked.
+    /// Returns how many of the \a waiting items to hand over to shard \a asker, which asked for
+    /// \a asked items.
     std::size_t answer(std::uint32_t asker, std::size_t asked, std::size_t waiting,
                        Base::TimePoint now);
-    /// What to hand to earlier askers now that \a waiting work waits and no permit is free.
+    /// Returns what to hand over for pending asks. Must only be called while \a waiting items wait
+    /// and no permit is free.
     std::vector<Handover> planForAskers(std::size_t waiting, Base::TimePoint now);
 
 private:
-    struct Handed
+    struct TimedCount
     {
         Base::TimePoint at;
         std::size_t count = 0;
     };
 
-    /// What was taken from a shard since its summary.
-    struct Taken
+    /// What this home received from a shard since the shard's last summary.
+    struct ReceivedWork
     {
         Base::TimePoint summaryAt;
         std::size_t count = 0;
-        /// Not to be asked before.
-        Base::TimePoint askAfter{};
+        /// The shard is not asked before this time.
+        Base::TimePoint nextAskAt{};
     };
 
-    std::size_t handedSince(const ShardSummary &summary);
-    double expectedAt(const ShardSummary &summary, Base::TimePoint now);
+    std::size_t handedOverSince(const ShardSummary &summary);
+    double expectedWaiting(const ShardSummary &summary, Base::TimePoint now);
 
     HandoverPolicy m_policy;
-    std::map<std::uint32_t, std::vector<Handed>> m_handed;
-    std::map<std::uint32_t, Taken> m_taken;
-    /// Asks that this home could not meet, by asker.
-    std::map<std::uint32_t, Handed> m_askers;
-    std::optional<Base::TimePoint> m_askedAt;
+    /// Work handed over recently, by receiving shard.
+    std::map<std::uint32_t, std::vector<TimedCount>> m_handedOver;
+    std::map<std::uint32_t, ReceivedWork> m_received;
+    /// Asks that this home could not answer with work yet, by asking shard.
+    std::map<std::uint32_t, TimedCount> m_pendingAsks;
+    std::optional<Base::TimePoint> m_openAskSince;
 };
 
 } // namespace Scheduling
