--- a/src/libs/scheduling/drainestimator.cpp
+++ b/src/libs/scheduling/drainestimator.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-/// Uses that the mean looks back on. One work in ten may be ten times longer than the others;
-/// 32 uses hold about three of those, and pass within a second at 40 uses a second.
-constexpr std::size_t memory = 32;
-/// Below this a mean would only show how coarse the clock is.
-constexpr double shortestMeanSeconds = 0.0005;
+/// Number of uses that the exponential moving average of the holding time covers. One request in
+/// ten may take ten times longer than the others: 32 uses include about three of these, and at 40
+/// uses per second they pass within a second.
+constexpr std::size_t maxSamples = 32;
+/// Lower bound of the mean in seconds. A smaller mean would only show the resolution of the clock.
+constexpr double minMeanSeconds = 0.0005;
 
 } // namespace
 
 void DrainEstimator::recordUse(Base::Duration held)
 {
-    m_samples = std::min(m_samples + 1, memory);
+    m_samples = std::min(m_samples + 1, maxSamples);
     const double seconds = std::chrono::duration<double>(held).count();
     m_meanSeconds += (seconds - m_meanSeconds) / static_cast<double>(m_samples);
 }
@@ -26,7 +27,7 @@
 {
     if (m_samples == 0)
         return 0;
-    return static_cast<double>(permits) / std::max(m_meanSeconds, shortestMeanSeconds);
+    return static_cast<double>(permits) / std::max(m_meanSeconds, minMeanSeconds);
 }
 
 } // namespace Scheduling
--- a/src/libs/scheduling/drainestimator.h
+++ b/src/libs/scheduling/drainestimator.h
@@ -6,20 +6,22 @@
 
 namespace Scheduling {
 
-/// Estimates how many permits a pool shard gives back a second when all of them are in use.
+/// Estimates how many permits per second are returned to a pool shard while all are in use.
 ///
-/// Load pattern: a quiet pool meets a burst. Counting the permits given back would show the
-/// demand of the quiet time, some a second, and admission would refuse a burst that the pool can
-/// carry. So the rate is taken from Little's law: permits over the mean time that one is held.
-/// It is right when the pool is saturated and an upper estimate before, since engines slow down
-/// as they fill. A frozen server gives nothing back, which leaves the mean as it was, but its
-/// concurrency limit falls and the rate with it.
+/// The rate follows from Little's law: number of permits divided by the mean time that a permit is
+/// held. Counting the returned permits instead would show the low demand of a quiet time, a few per
+/// second, and admission would refuse a following burst that the pool can serve.
+///
+/// The estimate is correct for a saturated pool and an upper bound otherwise, because engines slow
+/// down as they fill. A frozen server returns no permits and does not change the mean, but its
+/// concurrency limit falls, and with it the rate.
 class DrainEstimator
 {
 public:
-    /// A permit was held for \a held and used.
+    /// Records that a permit was used and held for \a held.
     void recordUse(Base::Duration held);
-    /// Permits given back a second by \a permits permits in use; 0 until a use was recorded.
+    /// Permits returned per second while \a permits permits are in use; 0 until a use has been
+    /// recorded.
     double rate(std::size_t permits) const;
 
 private:
--- a/src/libs/scheduling/holdestimator.cpp
+++ b/src/libs/scheduling/holdestimator.cpp
@@ -7,10 +7,12 @@
 
 namespace {
 
-/// Weight of the newest cost: one long work in ten stays in the mean for some hundred.
-constexpr double weight = 1.0 / 32;
-/// A hint wrong by more than this is a mistake of one request, not of its class.
-constexpr double largestRatio = 16;
+/// Weight of the newest cost in the moving average. One long request in ten stays in the average
+/// for about a hundred requests.
+constexpr double smoothingFactor = 1.0 / 32;
+/// Upper bound of a recorded ratio. A hint that is wrong by more is a mistake of one request and
+/// says nothing about its class.
+constexpr double maxRatio = 16;
 
 } // namespace
 
@@ -20,9 +22,9 @@
     if (expected == 0)
         return;
     const double ratio =
-        std::min(largestRatio, static_cast<double>(cost) / static_cast<double>(expected));
+        std::min(maxRatio, static_cast<double>(cost) / static_cast<double>(expected));
     const auto it = m_ratios.try_emplace(workClass, ratio).first;
-    it->second += weight * (ratio - it->second);
+    it->second += smoothingFactor * (ratio - it->second);
 }
 
 Base::ServiceUnits HoldEstimator::hold(const Base::ClassId &workClass,
--- a/src/libs/scheduling/holdestimator.h
+++ b/src/libs/scheduling/holdestimator.h
@@ -6,27 +6,31 @@
 
 namespace Scheduling {
 
-/// Learns how much service to hold for work that is given a permit, before its cost is known.
+/// Learns the hold of a piece of work: the service that is charged to the customer provisionally
+/// when the work is given a permit, before its cost is known.
 ///
-/// Load pattern: long work among short, with hints that are rough. A hold too small lets one
-/// customer take many permits before their cost shows, and the gap grows by all of it. One too
-/// large puts a customer behind by the excess of all its permits in use, for as long as it has
-/// them; customers with other kinds of work are not put behind as much, so the gap grows again.
-/// So the hold is the mean cost, as a part of the hint, without a margin: measured over a fleet,
-/// a margin of four mean deviations doubled the gap (docs/design/queue-order.md).
+/// Long work stands among short work, and the callers' cost hints are rough. With a hold that is
+/// too small, one customer takes many permits before their cost shows, and the service gap between
+/// customers grows by the whole difference. With a hold that is too large, a customer is put back
+/// by the excess of all its permits in use, for as long as it has them; customers with other kinds
+/// of work are put back less, so the gap grows as well. The hold is therefore the hint multiplied
+/// by the mean ratio of cost to hint, without a safety margin: a margin of four mean deviations
+/// doubled the gap in a fleet (docs/design/queue-order.md).
 ///
-/// Learned for each class of work; its memory is the classes of the configuration.
+/// The ratio is learned per class of work, so the memory is bounded by the number of configured
+/// classes.
 class HoldEstimator
 {
 public:
-    /// Work of \a workClass with the hint \a expected was whole and cost \a cost.
+    /// Records that completed work of \a workClass with the hint \a expected cost \a cost.
     void recordCost(const Base::ClassId &workClass, Base::ServiceUnits expected,
                     Base::ServiceUnits cost);
-    /// What to hold for work with the hint \a expected; the hint while nothing is known.
+    /// Returns the hold for work with the hint \a expected: the hint itself until a cost of its
+    /// class has been recorded.
     Base::ServiceUnits hold(const Base::ClassId &workClass, Base::ServiceUnits expected) const;
 
 private:
-    /// Mean of cost over hint.
+    /// Exponential moving average of cost divided by hint, by class.
     std::map<Base::ClassId, double> m_ratios;
 };
 
--- a/src/libs/scheduling/policyerror.h
+++ b/src/libs/scheduling/policyerror.h
@@ -2,7 +2,7 @@
 
 namespace Scheduling {
 
-/// The threshold that a static factory function of this library found out of range.
+/// The threshold or pair of thresholds that a factory function of this library found out of range.
 enum class PolicyField {
     AdmissionBounds,
     AdmissionRetryAfter,
@@ -15,7 +15,7 @@
     RetryBackoff,
 };
 
-/// Error of a static factory function: nothing was created.
+/// Error of a factory function whose policy has a threshold out of range; nothing is created.
 struct InvalidPolicy
 {
     PolicyField field;
--- a/src/libs/scheduling/serviceview.h
+++ b/src/libs/scheduling/serviceview.h
@@ -4,13 +4,14 @@
 
 namespace Scheduling {
 
-/// How much service each customer of one pool has received, as the queue order needs it.
+/// Gives the queue order access to the service that each customer of one pool has received.
 class ServiceView
 {
 public:
     virtual ~ServiceView() = default;
-    /// The customer's position: service received in the fleet, lifted to the floor when the
-    /// customer became backlogged, in weighed tokens. The least position goes first.
+    /// The position of \a customer in weighted tokens: the service that it received in the fleet,
+    /// raised to the floor (the lowest position among backlogged customers) when the customer
+    /// became backlogged. The customer with the lowest position goes first.
     virtual Base::ServiceUnits position(const Base::CustomerId &customer) const = 0;
 };
 
--- a/src/libs/scheduling/shardsummary.h
+++ b/src/libs/scheduling/shardsummary.h
@@ -7,16 +7,16 @@
 
 namespace Scheduling {
 
-/// What the last heartbeat of a home said of its pool shard. It is up to one heartbeat
-/// interval old.
+/// State of a pool shard as reported by the last heartbeat of its home, the router that queues the
+/// shard's work and grants its permits. The state is up to one heartbeat interval old.
 struct ShardSummary
 {
     std::uint32_t shard = 0;
     std::size_t waiting = 0;
     std::size_t freePermits = 0;
-    /// Permits given back a second when all are in use; 0 when not known.
+    /// Permits returned per second while all are in use; 0 if unknown.
     double drainRate = 0;
-    /// When the summary arrived here.
+    /// When this host received the summary.
     Base::TimePoint receivedAt;
 };
 
