--- a/tests/auto/scheduling/tst_fairqueue.cpp
+++ b/tests/auto/scheduling/tst_fairqueue.cpp
@@ -10,32 +10,32 @@
 
 namespace {
 
-/// The order as docs/design/queue-order.md says it, by a search through everything.
+/// Reference implementation of the queue order: searches all waiting work.
 const WaitingWork *expectedNext(const std::vector<WaitingWork> &waiting, const FakeService &service,
                                 const FakeClaims &claims, Base::ServiceUnits window)
 {
-    Base::ServiceUnits floor = ~Base::ServiceUnits(0);
+    Base::ServiceUnits leastPosition = ~Base::ServiceUnits(0);
     for (const WaitingWork &work : waiting)
-        floor = std::min(floor, service.position(work.customer));
-    const WaitingWork *best = nullptr;
+        leastPosition = std::min(leastPosition, service.position(work.customer));
+    const WaitingWork *bestWork = nullptr;
     const auto rank = [&](const WaitingWork &work) {
         return std::tuple(claims.isOverClaim(work.workClass), work.startBy, work.arrivedAt,
                           work.request.serial);
     };
     for (const WaitingWork &work : waiting) {
-        if (service.position(work.customer) > floor + window)
+        if (service.position(work.customer) > leastPosition + window)
             continue;
-        if (!best || rank(work) < rank(*best))
-            best = &work;
+        if (!bestWork || rank(work) < rank(*bestWork))
+            bestWork = &work;
     }
-    return best;
+    return bestWork;
 }
 
 } // namespace
 
 TEST_CASE("the queue order agrees with its definition", "[scheduling]")
 {
-    rc::prop("for any pushes, takes, removals, growing and announced falling positions", [] {
+    rc::prop("for any pushes, takes, removals, increases and announced decreases of positions", [] {
         constexpr Base::ServiceUnits window = 50;
         FairQueue queue = *FairQueue::create({window});
         FakeService service;
@@ -83,13 +83,13 @@
     });
 }
 
-TEST_CASE("the gap between backlogged customers stays under the written bound", "[scheduling]")
+TEST_CASE("the service gap between backlogged customers stays within its bound", "[scheduling]")
 {
-    // A university's finance office sees its answers stop while a large dealer's batch runs:
-    // the dealer has a thousand times the backlog, costs are known only at the end, one work in
-    // ten is ten times longer than the hold says, and a class is over its claim. Later a third
-    // customer arrives that was never served.
-    rc::prop("for any costs, backlog, claims and time, with a newcomer", [] {
+    // Guards against a large customer that stops the service of a small one. The large customer
+    // has a thousand times the backlog, costs are known only when work ends, one request in ten is
+    // ten times longer than its hold, and a class may be over its claim. Halfway through, a
+    // customer arrives that has not been served before.
+    rc::prop("for any costs, backlog, claims and time, with a new customer", [] {
         const auto seed = *rc::gen::arbitrary<std::uint64_t>();
         const auto slots = *rc::gen::inRange<std::size_t>(1, 13);
         const auto window = *rc::gen::inRange<Base::ServiceUnits>(0, 200);
@@ -101,25 +101,25 @@
         pool.addCustomer(customerNamed(0), 1);
         pool.addCustomer(customerNamed(1), 1000);
         pool.addCustomer(customerNamed(2), 3);
-        Base::ServiceUnits early = 0;
-        Base::ServiceUnits late = 0;
+        Base::ServiceUnits earlyGap = 0;
+        Base::ServiceUnits lateGap = 0;
         for (int i = 0; i < 4000; ++i) {
             if (i == 2000)
                 pool.addCustomer(customerNamed(3), 1);
             pool.step();
-            Base::ServiceUnits &largest = i < 1000 ? early : late;
+            Base::ServiceUnits &largest = i < 1000 ? earlyGap : lateGap;
             largest = std::max(largest, pool.gap());
             RC_ASSERT(pool.gap() <= pool.bound(window));
         }
-        // Growth with time would show as a gap in proportion to the units served.
-        RC_ASSERT(late <= early + pool.bound(window) / 2);
+        // A gap that grows with time would be proportional to the units served.
+        RC_ASSERT(lateGap <= earlyGap + pool.bound(window) / 2);
     });
 }
 
 TEST_CASE("holds are learned where hints are wrong", "[scheduling]")
 {
-    // Grant summaries run five times longer than their callers say, and each university that
-    // sends them gets five times its share before their cost shows.
+    // Guards against a customer that gets five times its share before its costs show because its
+    // requests cost five times the callers' hints.
     Scheduling::HoldEstimator holds;
     const Base::ClassId exact("exact");
     const Base::ClassId spread("spread");
@@ -146,10 +146,10 @@
     CHECK(gaps[true] < gaps[false]);
 }
 
-TEST_CASE("an unannounced fall of a position is seen within a rotation", "[scheduling]")
+TEST_CASE("an unannounced decrease of a position is noticed within a refresh round", "[scheduling]")
 {
-    // A customer waits for ever although it is the least served: its debt was forgiven when
-    // partitioned routers rejoined, and nobody told the queue.
+    // Guards against a customer that waits forever although it is the least served, because its
+    // debt was forgiven after a network partition and the queue was not told.
     FairQueue queue = *FairQueue::create({100});
     FakeService service;
     for (std::uint64_t i = 0; i < 400; ++i) {
@@ -165,7 +165,7 @@
     CHECK(takes <= 11);
 }
 
-TEST_CASE("work whose caller gave up leaves in order of deadline", "[scheduling]")
+TEST_CASE("expired work leaves the queue in order of deadline", "[scheduling]")
 {
     FairQueue queue = *FairQueue::create({});
     for (std::uint64_t i = 0; i < 10; ++i) {
