--- a/tests/auto/scheduling/tst_placement.cpp
+++ b/tests/auto/scheduling/tst_placement.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a prefix goes to its holder only while that is not crowded", "[scheduling]")
+TEST_CASE("a prefix goes to its holder only while the holder is not overloaded", "[scheduling]")
 {
     rc::prop("for any loads and hints", [] {
         ServerSelector selector;
@@ -56,11 +56,11 @@
     CHECK(!ServerSelector().choose({}, 7, at(0)).has_value());
 }
 
-TEST_CASE("cache events are hints: late, lost, and bounded in memory", "[scheduling]")
+TEST_CASE("cache events are hints that may be late or lost, and their memory is bounded",
+          "[scheduling]")
 {
-    // Answers to a large dealer's prompts start late for minutes: an eviction told late, or one
-    // never told, keeps them from the server that holds their beginning, or ties them to one
-    // that does not.
+    // Guards against answers that start late for minutes because a late eviction event keeps a
+    // prefix away from the server that has it, or a lost one keeps it at a server that does not.
     AffinityPolicy policy;
     policy.maxPrefixes = 100;
     ServerSelector selector(policy);
@@ -86,10 +86,11 @@
     CHECK(selector.prefixCount() == 0);
 }
 
-TEST_CASE("the shares of shards do not swing between heartbeats", "[scheduling]")
+TEST_CASE("the load of shards does not oscillate between heartbeats", "[scheduling]")
 {
-    // Every second another home is crowded and the rest are quiet: all entries send where the
-    // last heartbeat showed the shortest queue.
+    // Guards against one home that is overloaded while the others are idle, a different one each
+    // second, because all entry hosts send to the shard with the shortest queue in the last
+    // heartbeat.
     const ShardsSeen damped = ShardsModel(8, {}).run(0.95, false, 120000);
     CHECK(ShardsModel(8, undamped()).run(0.95, false, 120000).longestWait > 1.2);
     CHECK(damped.longestWait < 1.0);
@@ -97,10 +98,10 @@
     CHECK(damped.busy > 0.94);
 }
 
-TEST_CASE("an idle home is given what a crowded one has waiting", "[scheduling]")
+TEST_CASE("an idle home receives the waiting work of a home with a backlog", "[scheduling]")
 {
-    // A university's requests wait at one home while the next has free permits, since its
-    // callers all came in through one entry.
+    // Guards against requests that wait at one home while another has free permits, for example
+    // because all callers of a customer use the same entry host.
     HandoverPlanner planner;
     const std::vector<ShardSummary> seen{{0, 30, 0, 10, at(1000)},
                                          {1, 0, 8, 10, at(1000)},
@@ -113,17 +114,18 @@
     CHECK(HandoverPlanner().plan(1, seen, at(1000)).empty());
 }
 
-TEST_CASE("hardly a slot idles while work waits at another home", "[scheduling]")
+TEST_CASE("few slots idle while work waits at another home", "[scheduling]")
 {
-    // Finance staff queue at one home at quarter close while every other home has a free
-    // permit for a moment, each moment shorter than the time between two heartbeats.
+    // Guards against work that queues at one home while the others have free permits for times
+    // that are shorter than the interval between two heartbeats.
     CHECK(ShardsModel(8, {}).run(0.95, false, 60000).idleWhileWaiting > 0.03);
     CHECK(ShardsModel(8, {}).run(0.95, true, 60000).idleWhileWaiting < 0.015);
     CHECK(ShardsModel(8, {}).run(1.1, true, 60000).busy > 0.99);
     CHECK(ShardsModel(8, {}).run(0.3, true, 60000).longestWait == 0);
 }
 
-TEST_CASE("an idle home asks once where work may wait", "[scheduling]")
+TEST_CASE("an idle home has one open ask, at the home where work is most likely to wait",
+          "[scheduling]")
 {
     const std::vector<ShardSummary> seen{
         {0, 0, 9, 10, at(1000)}, {1, 3, 0, 10, at(1000)}, {2, 7, 0, 10, at(1000)}};
@@ -143,7 +145,7 @@
     CHECK(!HandoverPlanner().ask(0, 9, 10, quiet, at(1000)));
 }
 
-TEST_CASE("homes together hand over all that is free and no more", "[scheduling]")
+TEST_CASE("all homes together use the free permits and hand over no more", "[scheduling]")
 {
     rc::prop("for any summaries, at any time until the next", [] {
         std::vector<ShardSummary> seen;
@@ -171,7 +173,7 @@
         for (const auto &[shard, count] : given)
             RC_ASSERT(count <= seen[shard].freePermits && seen[shard].waiting == 0);
         RC_ASSERT(waiting < idle || handed == idle);
-        // Each crowded home may round down once for each idle one.
+        // Each home with a backlog may round down once for each idle home.
         const std::size_t rounding = std::size_t(n) * n;
         RC_ASSERT(waiting >= idle || handed + rounding >= waiting);
     });
