--- a/src/libs/scheduling/admissionpolicy.h
+++ b/src/libs/scheduling/admissionpolicy.h
@@ -9,6 +9,7 @@
 
 namespace Scheduling {
 
+/// Why work is refused.
 enum class RefusalReason {
     CustomerQueueFull,  ///< The customer's backlog is at its limit.
     PoolQueueFull,      ///< The backlog of the pool shard is at its limit.
@@ -32,6 +33,7 @@
     double drainRate = 0;
 };
 
+/// A refusal of work and when to retry.
 struct AdmissionRefusal
 {
     RefusalReason reason = RefusalReason::NoServer;
@@ -81,7 +83,7 @@
 class AdmissionPolicy
 {
 public:
-    /// Fails with InvalidPolicy.
+    /// Fails with InvalidPolicy if a threshold is out of range.
     static Base::Result<AdmissionPolicy> create(const AdmissionLimits &limits);
 
     /// Returns why \a work is refused and when to retry; empty if it is admitted. The caller
--- a/src/libs/scheduling/concurrencylimiter.h
+++ b/src/libs/scheduling/concurrencylimiter.h
@@ -44,6 +44,7 @@
     /// Limit of a server that is not known yet. Few engines run fewer requests at a time; the
     /// limit doubles from here.
     std::size_t initial = 8;
+    /// Bounds of the limit.
     std::size_t minLimit = 1;
     std::size_t largest = 256;
     /// Longest lag of a load report. The effect of a change of the limit that no report has
@@ -69,6 +70,7 @@
     Base::Duration maxProbeDelay = std::chrono::milliseconds(30000);
 };
 
+/// Condition of a backend server as the limiter sees it.
 enum class ServerCondition {
     Healthy,
     Failing,    ///< The server gets no permits until the next probe.
@@ -98,7 +100,7 @@
 class ConcurrencyLimiter
 {
 public:
-    /// Fails with InvalidPolicy.
+    /// Fails with InvalidPolicy if a threshold is out of range.
     static Base::Result<ConcurrencyLimiter> create(const ConcurrencyLimits &limits);
 
     /// Number of permits that may be in use at a time; 0 while the server is failing.
--- a/src/libs/scheduling/retrybudget.h
+++ b/src/libs/scheduling/retrybudget.h
@@ -23,7 +23,7 @@
 class RetryBudget
 {
 public:
-    /// Fails with InvalidPolicy.
+    /// Fails with InvalidPolicy if a threshold is out of range.
     static Base::Result<RetryBudget> create(const RetryBudgetPolicy &policy);
 
     /// Adds the share of one first attempt to the budget, up to the burst.
--- a/src/libs/scheduling/retrypolicy.h
+++ b/src/libs/scheduling/retrypolicy.h
@@ -40,12 +40,14 @@
     std::optional<Base::Duration> serverRetryAfter;
 };
 
+/// What to do after a failed attempt.
 enum class RetryStep {
     Retry,        ///< Make a new attempt at any server of the pool.
     ResumeStream, ///< Resume the stream at the same server from the first missing part.
     GiveUp,       ///< Report the failure to the caller.
 };
 
+/// The step that follows a failed attempt, and when.
 struct RetryDecision
 {
     RetryStep step = RetryStep::GiveUp;
@@ -53,6 +55,7 @@
     Base::Duration after{0};
 };
 
+/// Thresholds of the retry policy.
 struct RetryPolicyLimits
 {
     /// Largest number of attempts at one request, including the first. A third failure is
@@ -77,7 +80,7 @@
 class RetryPolicy
 {
 public:
-    /// Fails with InvalidPolicy.
+    /// Fails with InvalidPolicy if a threshold is out of range.
     static Base::Result<RetryPolicy> create(const RetryPolicyLimits &limits);
 
     /// Decides the next step. Takes one retry from \a budget unless the step is GiveUp.
--- a/src/libs/scheduling/serverselector.h
+++ b/src/libs/scheduling/serverselector.h
@@ -80,6 +80,7 @@
     std::size_t prefixCount() const { return m_prefixes.size(); }
 
 private:
+    /// A server that may hold the prefix in its cache.
     struct Holder
     {
         Base::ServerId server;
