--- a/tests/auto/scheduling/tst_placement.cpp
+++ b/tests/auto/scheduling/tst_placement.cpp
@@ -30,28 +30,30 @@
 {
     rc::prop("for any loads and hints", [] {
         ServerSelector selector;
-        std::vector<ServerChoice> choices;
+        std::vector<ServerChoice> candidates;
         const auto n = *rc::gen::inRange<std::size_t>(1, 8);
-        double least = 2;
+        double leastUtilisation = 2;
         for (std::size_t i = 0; i < n; ++i) {
             const auto limit = *rc::gen::inRange<std::size_t>(1, 40);
             const auto inUse = *rc::gen::inRange<std::size_t>(0, limit);
-            choices.push_back({serverNamed(i), inUse, limit, *rc::gen::arbitrary<bool>()});
-            least = std::min(least, double(inUse) / double(limit));
+            candidates.push_back({serverNamed(i), inUse, limit, *rc::gen::arbitrary<bool>()});
+            leastUtilisation = std::min(leastUtilisation, double(inUse) / double(limit));
         }
         const auto holder = *rc::gen::inRange<std::size_t>(0, n);
         selector.recordPrefix(7, serverNamed(holder), at(0));
-        const auto load = [&](std::size_t i) {
-            return double(choices[i].inUse) / double(choices[i].limit);
+        const auto utilisation = [&](std::size_t i) {
+            return double(candidates[i].inUse) / double(candidates[i].limit);
         };
-        const std::size_t chosen = *selector.choose(choices, 7, at(1));
-        if (load(holder) <= least + 0.25)
+        const std::size_t chosen = *selector.choose(candidates, 7, at(1));
+        if (utilisation(holder) <= leastUtilisation + 0.25)
             RC_ASSERT(chosen == holder);
         else
-            RC_ASSERT(load(chosen) < least + 1.0 / double(choices[chosen].limit));
-        const std::size_t other = *selector.choose(choices, 0, at(1));
-        for (std::size_t i = 0; i < n && !choices[other].isSameZone; ++i)
-            RC_ASSERT(!choices[i].isSameZone || load(i) >= least + 1.0 / double(choices[i].limit));
+            RC_ASSERT(utilisation(chosen)
+                      < leastUtilisation + 1.0 / double(candidates[chosen].limit));
+        const std::size_t other = *selector.choose(candidates, 0, at(1));
+        for (std::size_t i = 0; i < n && !candidates[other].isSameZone; ++i)
+            RC_ASSERT(!candidates[i].isSameZone
+                      || utilisation(i) >= leastUtilisation + 1.0 / double(candidates[i].limit));
     });
     CHECK(!ServerSelector().choose({}, 7, at(0)).has_value());
 }
@@ -64,23 +66,23 @@
     AffinityPolicy policy;
     policy.maxPrefixes = 100;
     ServerSelector selector(policy);
-    const std::vector<ServerChoice> choices{{serverNamed(0), 1, 10, true},
-                                            {serverNamed(1), 2, 10, false}};
+    const std::vector<ServerChoice> candidates{{serverNamed(0), 1, 10, true},
+                                               {serverNamed(1), 2, 10, false}};
     selector.recordCacheEvent(serverNamed(1), 7, true, at(0));
-    CHECK(selector.choose(choices, 7, at(1000)) == 1);
+    CHECK(selector.choose(candidates, 7, at(1000)) == 1);
     selector.recordCacheEvent(serverNamed(1), 7, false, at(3000));
-    CHECK(selector.choose(choices, 7, at(3000)) == 1);
+    CHECK(selector.choose(candidates, 7, at(3000)) == 1);
     selector.recordCacheEvent(serverNamed(1), 7, false, at(9000));
-    CHECK(selector.choose(choices, 7, at(9000)) == 0);
+    CHECK(selector.choose(candidates, 7, at(9000)) == 0);
     selector.recordPrefix(7, serverNamed(1), at(10000));
-    CHECK(selector.choose(choices, 7, at(10000 + 299000)) == 1);
-    CHECK(selector.choose(choices, 7, at(10000 + 301000)) == 0);
+    CHECK(selector.choose(candidates, 7, at(10000 + 299000)) == 1);
+    CHECK(selector.choose(candidates, 7, at(10000 + 301000)) == 0);
     for (std::uint64_t prefix = 8; prefix < 1000; ++prefix) {
         selector.recordPrefix(7, serverNamed(1), at(20000));
         selector.recordPrefix(prefix, serverNamed(0), at(20000));
     }
     CHECK(selector.prefixCount() == 100);
-    CHECK(selector.choose(choices, 7, at(20000)) == 1);
+    CHECK(selector.choose(candidates, 7, at(20000)) == 1);
     selector.forgetServer(serverNamed(1));
     selector.forgetServer(serverNamed(0));
     CHECK(selector.prefixCount() == 0);
@@ -130,22 +132,22 @@
     const std::vector<ShardSummary> seen{
         {0, 0, 9, 10, at(1000)}, {1, 3, 0, 10, at(1000)}, {2, 7, 0, 10, at(1000)}};
     HandoverPlanner idle;
-    HandoverPlanner crowded;
+    HandoverPlanner backlogged;
     CHECK(idle.ask(0, 2, 20, seen, at(1000)) == Handover{2, 3});
     CHECK(!idle.ask(0, 2, 20, seen, at(1050)));
     CHECK(idle.ask(0, 2, 20, seen, at(1100)).has_value());
-    CHECK(crowded.answer(0, 3, 0, at(1100)) == 0);
+    CHECK(backlogged.answer(0, 3, 0, at(1100)) == 0);
     idle.recordAnswer(2, 0, at(1101));
     CHECK(idle.ask(0, 2, 20, seen, at(1101)) == Handover{1, 3});
     idle.recordAnswer(1, 3, at(1102));
-    CHECK(crowded.planForAskers(2, at(1200)) == std::vector<Handover>{{0, 2}});
-    CHECK(crowded.planForAskers(2, at(1200)) == std::vector<Handover>{{0, 1}});
-    CHECK(crowded.planForAskers(2, at(1200)).empty());
+    CHECK(backlogged.planForAskers(2, at(1200)) == std::vector<Handover>{{0, 2}});
+    CHECK(backlogged.planForAskers(2, at(1200)) == std::vector<Handover>{{0, 1}});
+    CHECK(backlogged.planForAskers(2, at(1200)).empty());
     const std::vector<ShardSummary> quiet{{0, 0, 9, 10, at(1000)}, {1, 0, 9, 10, at(1000)}};
     CHECK(!HandoverPlanner().ask(0, 9, 10, quiet, at(1000)));
 }
 
-TEST_CASE("all homes together use the free permits and hand over no more", "[scheduling]")
+TEST_CASE("all homes together hand over work for all free permits and no more", "[scheduling]")
 {
     rc::prop("for any summaries, at any time until the next", [] {
         std::vector<ShardSummary> seen;
@@ -160,21 +162,21 @@
             idle += queue == 0 ? free : 0;
         }
         std::vector<HandoverPlanner> planners(n);
-        std::map<std::uint32_t, std::size_t> given;
-        std::size_t handed = 0;
+        std::map<std::uint32_t, std::size_t> received;
+        std::size_t handedOver = 0;
         for (const std::int64_t now : {1001, 1400, 1900}) {
             for (std::uint32_t i = 0; i < n; ++i) {
                 for (const Handover &handover : planners[i].plan(i, seen, at(now))) {
-                    given[handover.shard] += handover.count;
-                    handed += handover.count;
+                    received[handover.shard] += handover.count;
+                    handedOver += handover.count;
                 }
             }
         }
-        for (const auto &[shard, count] : given)
+        for (const auto &[shard, count] : received)
             RC_ASSERT(count <= seen[shard].freePermits && seen[shard].waiting == 0);
-        RC_ASSERT(waiting < idle || handed == idle);
+        RC_ASSERT(waiting < idle || handedOver == idle);
         // Each home with a backlog may round down once for each idle home.
         const std::size_t rounding = std::size_t(n) * n;
-        RC_ASSERT(waiting >= idle || handed + rounding >= waiting);
+        RC_ASSERT(waiting >= idle || handedOver + rounding >= waiting);
     });
 }
