--- a/src/app/reports.cpp
+++ b/src/app/reports.cpp
@@ -21,7 +21,7 @@
 
     void collect() override
     {
-        static constexpr std::array<const char *, Coordination::trafficKinds> names{
+        static constexpr std::array<const char *, Coordination::trafficKindCount> names{
             "permits", "charges", "heartbeats", "ledger", "configuration", "claims"};
         const auto totals = m_daemon->controlBytes();
         for (std::size_t i = 0; i < names.size(); ++i) {
--- a/src/libs/coordination/knownchanges.cpp
+++ b/src/libs/coordination/configurationhistory.cpp
@@ -1,4 +1,4 @@
-#include "coordination/knownchanges.h"
+#include "coordination/configurationhistory.h"
 
 #include <algorithm>
 
--- a/src/libs/coordination/configurationreplica.cpp
+++ b/src/libs/coordination/configurationreplica.cpp
@@ -130,8 +130,9 @@
     m_writer.write(handle, target, seen, m_known, now);
 }
 
-void ConfigurationReplica::notePeer(const Base::HostId &peer,
-                                    Settings::ConfigurationVersion version, Base::TimePoint now)
+void ConfigurationReplica::recordPeerVersion(const Base::HostId &peer,
+                                             Settings::ConfigurationVersion version,
+                                             Base::TimePoint now)
 {
     m_peers[peer] = {version, now};
     if (version <= m_known.version())
@@ -176,7 +177,7 @@
     return m_known.after(version, limit);
 }
 
-void ConfigurationReplica::learn(const std::vector<Settings::ConfigurationChange> &changes)
+void ConfigurationReplica::applyChanges(const std::vector<Settings::ConfigurationChange> &changes)
 {
     bool isNew = false;
     for (const Settings::ConfigurationChange &change : changes)
@@ -185,7 +186,7 @@
         becomeReadyFromPeers();
 }
 
-void ConfigurationReplica::learnSnapshot(const Settings::Configuration &configuration)
+void ConfigurationReplica::applySnapshot(const Settings::Configuration &configuration)
 {
     if (m_known.replace(configuration))
         becomeReadyFromPeers();
--- a/src/libs/coordination/configurationreplica.h
+++ b/src/libs/coordination/configurationreplica.h
@@ -3,8 +3,8 @@
 #include "base/result.h"
 #include "base/time.h"
 #include "coordination/configurationcompactor.h"
+#include "coordination/configurationhistory.h"
 #include "coordination/configurationpolicy.h"
-#include "coordination/knownchanges.h"
 #include "coordination/targetwriter.h"
 #include "settings/configuration.h"
 #include "storage/objectstore.h"
@@ -59,8 +59,8 @@
     std::vector<TargetWriteResult> takeWriteResults() { return m_writer.takeResults(); }
 
     /// Notes which version a peer's heartbeat named.
-    void notePeer(const Base::HostId &peer, Settings::ConfigurationVersion version,
-                  Base::TimePoint now);
+    void recordPeerVersion(const Base::HostId &peer, Settings::ConfigurationVersion version,
+                           Base::TimePoint now);
     /// The peer to ask for what is missing here, if it is time to ask.
     std::optional<Base::HostId> duePull(Base::TimePoint now);
     /// What to push to a peer at \a version without being asked. Only routers that have a
@@ -73,9 +73,9 @@
     std::vector<Settings::ConfigurationChange> changesAfter(Settings::ConfigurationVersion version,
                                                             std::size_t limit) const;
     /// Takes changes from a peer; those not next in order are left.
-    void learn(const std::vector<Settings::ConfigurationChange> &changes);
+    void applyChanges(const std::vector<Settings::ConfigurationChange> &changes);
     /// Takes a peer's whole configuration if it is newer.
-    void learnSnapshot(const Settings::Configuration &configuration);
+    void applySnapshot(const Settings::Configuration &configuration);
 
 private:
     struct Peer
--- a/src/libs/coordination/ledgerdelta.h
+++ b/src/libs/coordination/ledgerdelta.h
@@ -74,10 +74,10 @@
     Base::ServiceUnits floor = 0;
     /// The entries' settled sums hold, together with \a folded.
     bool isFull = false;
-    /// All that a warm sender knows, as an answer to isAsking.
+    /// All that a warm sender knows, as an answer to isSnapshotRequest.
     bool isSnapshot = false;
     /// The sender started cold and asks for a snapshot.
-    bool isAsking = false;
+    bool isSnapshotRequest = false;
     std::vector<FoldedStart> folded;
     /// Starts that SeenCharge::start points into.
     std::vector<LedgerStart> starts;
--- a/src/libs/coordination/membership.cpp
+++ b/src/libs/coordination/membership.cpp
@@ -38,17 +38,17 @@
 } // namespace
 
 Base::Result<Membership> Membership::create(const MembershipPolicy &policy,
-                                            const MembershipSelf &self)
+                                            const RouterIdentity &self)
 {
     const bool isValid = policy.heartbeatInterval > Base::Duration::zero()
                          && policy.suspectAfter > policy.heartbeatInterval
-                         && policy.largestStretch >= 1 && policy.fullEvery > 0;
+                         && policy.largestStretch >= 1 && policy.heartbeatsPerFull > 0;
     if (!isValid)
         return boost::leaf::new_error(InvalidMembershipPolicy{});
     return Membership(policy, self);
 }
 
-Membership::Membership(const MembershipPolicy &policy, const MembershipSelf &self)
+Membership::Membership(const MembershipPolicy &policy, const RouterIdentity &self)
     : m_policy(policy)
     , m_self(self)
     , m_marks(policy.leaving)
@@ -242,7 +242,7 @@
     heartbeat.incarnation = m_self.incarnation;
     heartbeat.sequence = ++m_sequence;
     heartbeat.state = m_isSelfLeaving ? MemberState::Leaving : MemberState::Live;
-    heartbeat.isFull = m_isFullDue || m_sequence % m_policy.fullEvery == 0;
+    heartbeat.isFull = m_isFullDue || m_sequence % m_policy.heartbeatsPerFull == 0;
     heartbeat.leaving = m_marks.takeTold(heartbeat.isFull);
     heartbeat.interval = interval;
     m_isFullDue = false;
--- a/src/libs/coordination/membership.h
+++ b/src/libs/coordination/membership.h
@@ -31,7 +31,7 @@
     double largestStretch = 2;
     /// Every so many heartbeats one is full: what lost ones left out is mended in 15 s. Thirty
     /// leaving marks in each eighth took 8 KB a second.
-    std::uint64_t fullEvery = 30;
+    std::uint64_t heartbeatsPerFull = 30;
     /// A pool whose numbers move is told again no sooner than this, but for new spare permits.
     Base::Duration poolInterval = std::chrono::seconds(1);
     /// From the second loss within flapWindow on, a member must be heard for flapHold times the
@@ -44,7 +44,7 @@
     LeavingPolicy leaving;
 };
 
-struct MembershipSelf
+struct RouterIdentity
 {
     Base::HostId host;
     Base::Incarnation incarnation = 0;
@@ -88,7 +88,7 @@
 public:
     /// Fails with InvalidMembershipPolicy.
     static Base::Result<Membership> create(const MembershipPolicy &policy,
-                                           const MembershipSelf &self);
+                                           const RouterIdentity &self);
 
     void seed(const Storage::HostListing &listing, Base::TimePoint now);
     void receive(const Heartbeat &heartbeat, Base::TimePoint now);
@@ -108,7 +108,7 @@
     void setStretch(double stretch);
     Base::TimePoint nextDue() const { return m_nextHeartbeat; }
 
-    const MembershipSelf &self() const { return m_self; }
+    const RouterIdentity &self() const { return m_self; }
     /// Asked to leave, or said to be leaving by the platform or a peer.
     bool isSelfLeaving() const { return m_isSelfLeaving; }
     /// All known routers but this one, by host.
@@ -131,7 +131,7 @@
         Base::TimePoint at;
     };
 
-    Membership(const MembershipPolicy &policy, const MembershipSelf &self);
+    Membership(const MembershipPolicy &policy, const RouterIdentity &self);
     void markLeaving(const std::string &name, Base::Incarnation incarnation);
     Member *learn(const Heartbeat &heartbeat);
     void begin(Member &member, const Heartbeat &heartbeat);
@@ -144,7 +144,7 @@
     void seedRouter(const Storage::ListedHost &listed);
 
     MembershipPolicy m_policy;
-    MembershipSelf m_self;
+    RouterIdentity m_self;
     std::map<Base::HostId, Member> m_others;
     LeavingMarks m_marks;
     std::map<std::pair<Base::PoolId, std::uint32_t>, ToldPool> m_toldPools;
--- a/src/libs/coordination/orderbook.cpp
+++ b/src/libs/coordination/orderreconciler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/orderbook.h"
+#include "coordination/orderreconciler.h"
 
 #include <algorithm>
 
--- a/src/libs/coordination/serviceledger.cpp
+++ b/src/libs/coordination/serviceledger.cpp
@@ -163,7 +163,7 @@
     LedgerDelta delta = header();
     if (m_isCold && m_now >= m_nextAsk) {
         m_nextAsk = m_now + m_policy.askInterval;
-        delta.isAsking = true;
+        delta.isSnapshotRequest = true;
     }
     std::vector<Base::CustomerId> customers = takeChanged(limit);
     if (m_now >= m_nextRefresh) {
@@ -177,7 +177,7 @@
         account.sent = account.chargedHere;
         delta.entries.push_back(entryOf(customer, account, delta.isFull));
     }
-    if (delta.entries.empty() && !delta.isAsking)
+    if (delta.entries.empty() && !delta.isSnapshotRequest)
         return std::nullopt;
     return delta;
 }
--- a/src/libs/coordination/targetwriter.h
+++ b/src/libs/coordination/targetwriter.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "base/time.h"
+#include "coordination/configurationhistory.h"
 #include "coordination/configurationpolicy.h"
-#include "coordination/knownchanges.h"
 #include "settings/configuration.h"
 #include "storage/operationids.h"
 #include "storage/tableservice.h"
--- a/src/libs/coordination/trafficmeter.h
+++ b/src/libs/coordination/trafficmeter.h
@@ -11,7 +11,7 @@
 
 /// What the bytes between routers are for.
 enum class TrafficKind { Permits, Charges, Heartbeats, Ledger, Configuration, Claims };
-inline constexpr std::size_t trafficKinds = 6;
+inline constexpr std::size_t trafficKindCount = 6;
 
 /// Whether messages of this kind may come later without anybody waiting for them.
 bool isDeferrable(TrafficKind kind);
@@ -85,7 +85,7 @@
     double windowBytes() const;
 
     TrafficBudget m_budget;
-    std::array<std::uint64_t, trafficKinds> m_totals{};
+    std::array<std::uint64_t, trafficKindCount> m_totals{};
     std::array<Bucket, buckets> m_buckets{};
 };
 
--- a/src/libs/daemon/grpcpeertransport.h
+++ b/src/libs/daemon/grpcpeertransport.h
@@ -20,7 +20,7 @@
 {
 public:
     /// Bytes sent so far, by TrafficKind.
-    using Totals = std::array<std::uint64_t, Coordination::trafficKinds>;
+    using Totals = std::array<std::uint64_t, Coordination::trafficKindCount>;
 
     /// \a ring must take PeerUnreachable events until this object is gone.
     static Base::Result<std::unique_ptr<GrpcPeerTransport>>
--- a/src/libs/gateway/answersink.h
+++ b/src/libs/gateway/answersink.h
@@ -10,7 +10,7 @@
 namespace Gateway {
 
 /// Where the answer to one request goes. Either sendAnswer(), or startStream(), any number of
-/// sendEvents() and then endStream() or breakOff().
+/// sendEvents() and then endStream() or abortAnswer().
 class AnswerSink
 {
 public:
@@ -20,7 +20,7 @@
     virtual void sendEvents(std::string_view data) = 0;
     virtual void endStream() = 0;
     /// Closes the connection without an end, so that the answer cannot look complete.
-    virtual void breakOff() = 0;
+    virtual void abortAnswer() = 0;
     /// The answer is the last one of its connection. Call it before the answer.
     virtual void closeAfterAnswer() = 0;
     /// Whether the caller has closed its connection, read or not. Costs a system call.
@@ -45,7 +45,7 @@
     /// The caller closed its connection; the sink must not be used any more.
     virtual void callerGone() = 0;
     /// The caller has read what was held back.
-    virtual void callerReady() = 0;
+    virtual void outputDrained() = 0;
 };
 
 /// Takes the requests of a listener. The sink lives until the answer is complete or
--- a/src/libs/gateway/backendpool.cpp
+++ b/src/libs/gateway/backendpool.cpp
@@ -65,7 +65,7 @@
     }
 }
 
-void BackendPool::forget(const Base::ServerId &server)
+void BackendPool::closeIdleConnections(const Base::ServerId &server)
 {
     const auto peer = m_peers.find(server.value());
     if (peer == m_peers.end())
--- a/src/libs/gateway/backendpool.h
+++ b/src/libs/gateway/backendpool.h
@@ -36,11 +36,11 @@
     std::shared_ptr<BackendConnection> send(SendOrder order, BackendListener &listener,
                                             Base::TimePoint now);
     /// Most connections to one server, from this host.
-    void setLimit(std::size_t limit) { m_limit = limit; }
+    void setConnectionLimit(std::size_t limit) { m_limit = limit; }
     /// Closes what is idle for too long or connects for too long.
     void checkTime(Base::TimePoint now);
     /// The server is gone; idle connections to it are closed.
-    void forget(const Base::ServerId &server);
+    void closeIdleConnections(const Base::ServerId &server);
 
     void connectionIdle(BackendConnection &connection) override;
     void connectionClosed(BackendConnection &connection) override;
--- a/src/libs/gateway/callerconnection.cpp
+++ b/src/libs/gateway/callerconnection.cpp
@@ -175,7 +175,7 @@
     finishAnswer();
 }
 
-void CallerConnection::breakOff()
+void CallerConnection::abortAnswer()
 {
     m_active.reset();
     m_isAnswering = false;
@@ -224,7 +224,7 @@
         return;
     }
     if (std::exchange(m_wasBlocked, false) && m_active)
-        m_active->callerReady();
+        m_active->outputDrained();
     if (m_closesAfterAnswer && !m_isAnswering)
         close();
 }
--- a/src/libs/gateway/callerconnection.h
+++ b/src/libs/gateway/callerconnection.h
@@ -54,7 +54,7 @@
     void startStream(const ResponseHead &head) override;
     void sendEvents(std::string_view data) override;
     void endStream() override;
-    void breakOff() override;
+    void abortAnswer() override;
     void closeAfterAnswer() override { m_closesAfterAnswer = true; }
     bool isCallerGone() const override;
     bool isBlocked() const override;
--- a/src/libs/gateway/eventlog.cpp
+++ b/src/libs/gateway/eventlog.cpp
@@ -96,7 +96,7 @@
     append(line, now);
 }
 
-bool EventLog::takesRequest(bool isFailure, Base::TimePoint now)
+bool EventLog::tryAcquireRequestLine(bool isFailure, Base::TimePoint now)
 {
     if (now - m_second >= std::chrono::seconds(1)) {
         m_second = now;
--- a/src/libs/gateway/eventlog.h
+++ b/src/libs/gateway/eventlog.h
@@ -51,13 +51,13 @@
     /// quarter core serves about fifty requests a second on an ordinary day.
     EventLog(int descriptor, unsigned requestLinesPerSecond);
 
-    void setRequestLines(unsigned perSecond) { m_requestLinesPerSecond = perSecond; }
+    void setRequestLineLimit(unsigned perSecond) { m_requestLinesPerSecond = perSecond; }
     /// Always kept while the buffer has room: what changes what the process believes.
     void write(const LogLine &line, Base::TimePoint now);
     /// Takes a line of a request off its allowance; \a isFailure has a larger one. False if there
     /// is none left: the line is counted as dropped and need not be made, which would cost about
     /// a tenth of a refused request.
-    bool takesRequest(bool isFailure, Base::TimePoint now);
+    bool tryAcquireRequestLine(bool isFailure, Base::TimePoint now);
     /// Passes on what the reader takes; call it often.
     void flush();
 
--- a/src/libs/gateway/eventsplitter.cpp
+++ b/src/libs/gateway/eventsplitter.cpp
@@ -43,9 +43,9 @@
 
 } // namespace
 
-WholeEvents EventSplitter::push(std::string_view data)
+CompleteEvents EventSplitter::push(std::string_view data)
 {
-    WholeEvents whole;
+    CompleteEvents whole;
     m_rest.append(data);
     std::string_view left = m_rest;
     for (std::size_t end = endOfEvent(left); end != std::string_view::npos;
@@ -57,7 +57,7 @@
     return whole;
 }
 
-void EventSplitter::take(std::string_view event, WholeEvents &whole)
+void EventSplitter::take(std::string_view event, CompleteEvents &whole)
 {
     const std::optional<std::uint64_t> id = idOf(event);
     if (id && m_lastId && *id <= *m_lastId)
--- a/src/libs/gateway/eventsplitter.h
+++ b/src/libs/gateway/eventsplitter.h
@@ -8,7 +8,7 @@
 namespace Gateway {
 
 /// Whole events taken out of a stream's bytes.
-struct WholeEvents
+struct CompleteEvents
 {
     std::string text;
     std::size_t count = 0;
@@ -27,15 +27,15 @@
         : m_lastId(lastId)
     {}
 
-    WholeEvents push(std::string_view data);
+    CompleteEvents push(std::string_view data);
     /// Forgets a half event: another server begins with the next whole one.
-    void restart() { m_rest.clear(); }
+    void discardPartialEvent() { m_rest.clear(); }
 
     std::optional<std::uint64_t> lastId() const { return m_lastId; }
-    bool hasRest() const { return !m_rest.empty(); }
+    bool hasPartialEvent() const { return !m_rest.empty(); }
 
 private:
-    void take(std::string_view event, WholeEvents &whole);
+    void take(std::string_view event, CompleteEvents &whole);
 
     std::string m_rest;
     std::optional<std::uint64_t> m_lastId;
--- a/src/libs/gateway/exchange.cpp
+++ b/src/libs/gateway/exchange.cpp
@@ -105,7 +105,7 @@
     m_isHeadSeen = false;
     m_isWorkStarted = false;
     m_body.clear();
-    m_events.restart();
+    m_events.discardPartialEvent();
     m_sentAt = now;
     m_heardAt = now;
     m_expectedStart = m_port->expectedStart(m_accepted.service, m_accepted.id);
@@ -143,7 +143,7 @@
     if (keeper)
         added.fetchFrom = keeper->address;
     added.customer = m_accepted.customer.value();
-    added.dropsKey = !m_accepted.table->configuration().customers.empty();
+    added.dropsAuthorization = !m_accepted.table->configuration().customers.empty();
     if (m_eventCount > 0 && m_events.lastId())
         added.lastEventId = std::to_string(*m_events.lastId());
     return added;
@@ -225,7 +225,7 @@
     finish("caller_gone");
 }
 
-void Exchange::callerReady()
+void Exchange::outputDrained()
 {
     if (m_connection)
         m_connection->resume();
@@ -254,7 +254,7 @@
 
 void Exchange::passEvents(std::string_view data)
 {
-    const WholeEvents whole = m_events.push(data);
+    const CompleteEvents whole = m_events.push(data);
     if (whole.count == 0)
         return;
     if (!m_isWorkStarted) {
@@ -282,7 +282,7 @@
     if (m_state != State::Sent)
         return;
     if (m_isEventStream) {
-        if (m_events.hasRest() || m_eventCount == 0) {
+        if (m_events.hasPartialEvent() || m_eventCount == 0) {
             endAttempt(AttemptOutcome::Broken);
             afterFailure(AttemptOutcome::Broken, true);
             return;
@@ -415,7 +415,7 @@
     failure.mayHaveRun |= m_mayHaveRun;
     if (m_isStreamStarted) {
         if (!m_isCallerGone)
-            m_sink->breakOff();
+            m_sink->abortAnswer();
         finish(failureName(failure.type));
         return;
     }
@@ -442,7 +442,7 @@
 {
     m_port->attemptFailed(outcome);
     const Base::TimePoint now = m_port->now();
-    if (!m_port->log().takesRequest(true, now))
+    if (!m_port->log().tryAcquireRequestLine(true, now))
         return;
     LogLine line("request.attempt_failed");
     line.add("request", m_accepted.requestId)
@@ -468,7 +468,7 @@
         ended.first = ended.whole;
     m_port->requestEnded(ended);
     const bool isFailure = m_status >= 500 || (m_status == 0 && !m_isCallerGone);
-    if (!m_port->log().takesRequest(isFailure, now))
+    if (!m_port->log().tryAcquireRequestLine(isFailure, now))
         return;
     LogLine line("request.end");
     line.add("request", m_accepted.requestId)
--- a/src/libs/gateway/exchange.h
+++ b/src/libs/gateway/exchange.h
@@ -91,7 +91,7 @@
     const Routing::Work &work() const { return m_accepted.work; }
 
     void callerGone() override;
-    void callerReady() override;
+    void outputDrained() override;
 
     void answerStarted(const ResponseHead &head) override;
     void answerData(std::string_view data) override;
--- a/src/libs/gateway/failure.cpp
+++ b/src/libs/gateway/failure.cpp
@@ -27,7 +27,7 @@
         return "deadline_unmet";
     case FailureType::ShuttingDown:
         return "shutting_down";
-    case FailureType::HostBehind:
+    case FailureType::HostOverloaded:
         return "host_overloaded";
     }
     return "backend_failed";
@@ -49,7 +49,7 @@
     case FailureType::NoServer:
     case FailureType::ServerFailed:
     case FailureType::ShuttingDown:
-    case FailureType::HostBehind:
+    case FailureType::HostOverloaded:
         break;
     }
     return failure.mayHaveRun ? 502 : 503;
--- a/src/libs/gateway/failure.h
+++ b/src/libs/gateway/failure.h
@@ -9,16 +9,16 @@
 namespace Gateway {
 
 enum class FailureType {
-    NotReady,     ///< No configuration yet, or none that is known to be current.
-    NoRoute,      ///< No class of work takes this host and path.
-    UnknownKey,   ///< No customer holds the key.
-    BadRequest,   ///< A field that the decisions need is missing or malformed.
-    TurnedAway,   ///< There is no room in time.
-    NoServer,     ///< No server of the service is known or reachable.
-    ServerFailed, ///< A server failed, or its answer was lost, and no further attempt is allowed.
-    TimedOut,     ///< The class's timeout or the caller's deadline has passed.
-    ShuttingDown, ///< This host leaves; another one will serve the request.
-    HostBehind,   ///< This host has more to do than its processor can.
+    NotReady,       ///< No configuration yet, or none that is known to be current.
+    NoRoute,        ///< No class of work takes this host and path.
+    UnknownKey,     ///< No customer holds the key.
+    BadRequest,     ///< A field that the decisions need is missing or malformed.
+    TurnedAway,     ///< There is no room in time.
+    NoServer,       ///< No server of the service is known or reachable.
+    ServerFailed,   ///< A server failed, or its answer was lost, and no further attempt is allowed.
+    TimedOut,       ///< The class's timeout or the caller's deadline has passed.
+    ShuttingDown,   ///< This host leaves; another one will serve the request.
+    HostOverloaded, ///< This host has more to do than its processor can.
 };
 
 /// The gateway's own final answer to a request.
--- a/src/libs/gateway/fleetview.h
+++ b/src/libs/gateway/fleetview.h
@@ -73,7 +73,7 @@
     std::optional<Base::Duration> newestReportAge(Base::TimePoint now) const;
     /// The other hosts of this zone that are alive and do not leave.
     std::vector<MemberState> membersOfZone(Base::TimePoint now) const;
-    const Routing::OthersLoad &others() const { return m_others; }
+    const Routing::PeerLoad &others() const { return m_others; }
     /// Sums up the loads of the hosts that are alive.
     void sumUp(Base::TimePoint now);
     /// Adds the uses of prompt parts that a leader passes on with a report of this scope, once.
@@ -143,7 +143,7 @@
     std::vector<Routing::PartUse> m_usesForLeaders;
     /// Heard from anybody; the hosts of this zone are still to be told.
     std::vector<Routing::PartUse> m_usesForZone;
-    Routing::OthersLoad m_others;
+    Routing::PeerLoad m_others;
 };
 
 } // namespace Gateway
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -2,7 +2,7 @@
 
 #include "gateway/boottime.h"
 #include "gateway/metricshandler.h"
-#include "gateway/storetimes.h"
+#include "gateway/storeintervals.h"
 
 #include <unistd.h>
 
@@ -118,7 +118,7 @@
     if (!m_settings.metricsAddress)
         return {};
     m_metricsHandler = std::make_unique<MetricsHandler>([this] {
-        m_metrics->show(state());
+        m_metrics->updateGauges(state());
         return m_metrics->text();
     });
     BOOST_LEAF_ASSIGN(m_metricsListener,
@@ -155,7 +155,7 @@
                     .add("incarnation", m_incarnation),
                 now());
     watchSignals();
-    m_backlog.noteIdle(now());
+    m_backlog.recordIdle(now());
     tick();
     loop();
     m_log.write(LogLine("process.stop").add("open", m_exchanges.size()), now());
@@ -172,7 +172,7 @@
         m_io.poll();
         m_looksForIdle = false;
         const Base::TimePoint time = now();
-        m_backlog.noteIdle(time);
+        m_backlog.recordIdle(time);
         m_load.addBusy(m_busySince, time);
     }
 }
@@ -197,7 +197,7 @@
 {
     boost::leaf::try_handle_all(
         [&]() -> Base::Result<void> {
-            BOOST_LEAF_AUTO(settings, m_settingsWatcher.changed());
+            BOOST_LEAF_AUTO(settings, m_settingsWatcher.readIfChanged());
             if (!settings)
                 return {};
             takeSettings(*settings);
@@ -226,7 +226,7 @@
     m_settings.retries = settings.retries;
     m_settings.requestLinesPerSecond = settings.requestLinesPerSecond;
     m_replica->takeSettings(m_settings);
-    m_log.setRequestLines(settings.requestLinesPerSecond);
+    m_log.setRequestLineLimit(settings.requestLinesPerSecond);
     m_services->retryAllowanceChanged(settings.retries);
 }
 
@@ -339,7 +339,7 @@
         m_reports->send(report, order.receivers);
     }
     m_fleet.sumUp(time);
-    m_services->othersChanged();
+    m_services->peerLoadChanged();
     m_entries.update(m_fleet.servingMembers(time), memberOfThisHost(time), time);
     limitConnections();
 }
@@ -353,7 +353,7 @@
         connections = std::max<std::size_t>(connections, it.maxConnections);
     const double share = m_entries.trafficShare(m_settings.host, bootTimeNow());
     const double part = static_cast<double>(connections) * connectionShare * share;
-    m_pool.setLimit(std::max(leastConnections, static_cast<std::size_t>(part)));
+    m_pool.setConnectionLimit(std::max(leastConnections, static_cast<std::size_t>(part)));
 }
 
 void Gateway::reportReceived(const HostReport &report)
@@ -361,7 +361,7 @@
     const Base::TimePoint time = now();
     if (!m_fleet.receive(report, time))
         return;
-    m_services->learnPartUses(report.load.partUses, time);
+    m_services->applyPartUses(report.load.partUses, time);
     m_replica->takeReport(report, time);
 }
 
@@ -371,18 +371,19 @@
     accepted.id = ++m_lastWork;
     accepted.request = std::move(request);
     accepted.requestId = std::string(field(accepted.request.message, m_adapter.names.requestId));
-    ExaminedWith known{m_replica->table(), m_replica->servers().isKnown(), mayUseKeys(), false};
+    ValidationContext known{m_replica->table(), m_replica->servers().isKnown(), mayUseKeys(),
+                            false};
     known.isLeavingSoon =
         m_leavingSince && now() - *m_leavingSince >= part(m_settings.shutdownGrace, longWorkShare);
-    std::optional<Failure> failure = m_examiner.examine(accepted, known);
+    std::optional<Failure> failure = m_examiner.validate(accepted, known);
     if (failure)
-        m_backlog.noteRefusal(now());
+        m_backlog.recordRefusal(now());
     else if (!accepted.route->isStream())
-        m_backlog.noteRequest(now());
-    else if (!m_backlog.takesStream(accepted.work, now())) {
-        m_services->service(accepted.service).dispatcher.turnedAwayBefore(accepted.work, now());
+        m_backlog.recordPlainRequest(now());
+    else if (!m_backlog.admitStream(accepted.work, now())) {
+        m_services->service(accepted.service).dispatcher.recordTurnedAway(accepted.work, now());
         m_load.addPassedOver(accepted.customer);
-        failure = Failure{FailureType::HostBehind, false, behindRetryAfter};
+        failure = Failure{FailureType::HostOverloaded, false, behindRetryAfter};
     }
     if (failure) {
         m_load.addRefusal();
@@ -391,7 +392,7 @@
                                  accepted.customer.value(), failureName(failure->type),
                                  std::nullopt, now() - accepted.request.readAt});
         // Kept, a refused caller's connection costs more than the refusal.
-        if (failure->type == FailureType::HostBehind)
+        if (failure->type == FailureType::HostOverloaded)
             sink.closeAfterAnswer();
         sink.sendAnswer(failureHead(*failure), failureBody(*failure, accepted.requestId));
         return nullptr;
@@ -409,7 +410,7 @@
 void Gateway::logRefusal(const AcceptedRequest &accepted, const Failure &failure)
 {
     const Base::TimePoint time = now();
-    if (!m_log.takesRequest(true, time))
+    if (!m_log.tryAcquireRequestLine(true, time))
         return;
     m_log.write(LogLine("request.refused")
                     .add("request", accepted.requestId)
@@ -440,7 +441,7 @@
                 continue;
             const std::shared_ptr<Exchange> exchange = found->second;
             if (exchange->isStream())
-                m_backlog.giveBack(exchange->work(), now());
+                m_backlog.refundStream(exchange->work(), now());
             exchange->turnedAway(it);
         }
     }
@@ -476,7 +477,7 @@
 bool Gateway::takeRepeat(const std::string &service)
 {
     const bool isGranted = m_services->service(service).retries.take(m_fleet.others().hosts, now());
-    m_metrics->repeatAsked(isGranted);
+    m_metrics->retryRequested(isGranted);
     return isGranted;
 }
 
@@ -516,7 +517,7 @@
 void Gateway::eventsForwarded(std::size_t count)
 {
     m_entries.addEvents(count, now());
-    m_backlog.noteEvents(count);
+    m_backlog.recordEvents(count);
     m_load.addEvents(count);
 }
 
@@ -525,9 +526,9 @@
     m_metrics->requestEnded(request);
 }
 
-void Gateway::storeAnswered(const char *call, bool isGood)
+void Gateway::storeCallFinished(const char *call, bool isGood)
 {
-    m_metrics->storeAnswered(call, isGood);
+    m_metrics->storeCallFinished(call, isGood);
 }
 
 void Gateway::exchangeOver(Routing::WorkId id)
@@ -557,16 +558,16 @@
         m_log.write(LogLine("server.found").add("server", id.value()), time);
     for (const Base::ServerId &id : changes.leaving) {
         m_log.write(LogLine("server.leaving").add("server", id.value()), time);
-        m_pool.forget(id);
+        m_pool.closeIdleConnections(id);
     }
     for (const Base::ServerId &id : changes.gone) {
         m_log.write(LogLine("server.gone").add("server", id.value()), time);
-        m_pool.forget(id);
+        m_pool.closeIdleConnections(id);
     }
     m_services->serversChanged();
 }
 
-void Gateway::unreadableChanged(const std::set<std::string> &entries)
+void Gateway::unreadableEntriesChanged(const std::set<std::string> &entries)
 {
     m_unreadableEntries = entries.size();
     m_log.write(LogLine("server.entries_unreadable")
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -3,7 +3,7 @@
 #include "base/random.h"
 #include "base/result.h"
 #include "gateway/backendpool.h"
-#include "gateway/entryboard.h"
+#include "gateway/entryhostselector.h"
 #include "gateway/eventlog.h"
 #include "gateway/exchange.h"
 #include "gateway/fleetview.h"
@@ -12,11 +12,11 @@
 #include "gateway/hostload.h"
 #include "gateway/httplistener.h"
 #include "gateway/reportsocket.h"
-#include "gateway/requestexaminer.h"
+#include "gateway/requestvalidator.h"
 #include "gateway/services.h"
 #include "gateway/settingswatcher.h"
 #include "gateway/storereplica.h"
-#include "routing/backlogwatch.h"
+#include "routing/streamadmission.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -92,8 +92,8 @@
     void configurationTaken() override;
     void serversChanged(const Routing::ServerChanges &changes, bool isNews) override;
     void serversRead() override { m_services->serversRead(); }
-    void unreadableChanged(const std::set<std::string> &entries) override;
-    void storeAnswered(const char *call, bool isGood) override;
+    void unreadableEntriesChanged(const std::set<std::string> &entries) override;
+    void storeCallFinished(const char *call, bool isGood) override;
 
     std::vector<std::string> entryAddresses() const override { return m_entries.addresses(); }
     void eventsForwarded(std::size_t count) override;
@@ -130,7 +130,7 @@
 
     GatewaySettings m_settings;
     DeploymentAdapter m_adapter;
-    RequestExaminer m_examiner;
+    RequestValidator m_examiner;
     SettingsWatcher m_settingsWatcher;
     boost::asio::io_context m_io{BOOST_ASIO_CONCURRENCY_HINT_UNSAFE};
     boost::asio::steady_timer m_timer{m_io};
@@ -151,7 +151,7 @@
     std::unique_ptr<HttpListener> m_readiness;
     std::unique_ptr<HttpListener> m_discovery;
     EntryBoard m_entries;
-    Routing::BacklogWatch m_backlog;
+    Routing::StreamAdmission m_backlog;
     HostLoadCounts m_load;
     /// Up to where the time with work is counted.
     Base::TimePoint m_busySince{};
--- a/src/libs/gateway/gatewaymetrics.cpp
+++ b/src/libs/gateway/gatewaymetrics.cpp
@@ -96,17 +96,17 @@
     m_failedAttempts->with({outcome}).increment();
 }
 
-void GatewayMetrics::repeatAsked(bool isGranted)
+void GatewayMetrics::retryRequested(bool isGranted)
 {
     m_repeats->with({isGranted ? "yes" : "no"}).increment();
 }
 
-void GatewayMetrics::storeAnswered(const std::string &call, bool isGood)
+void GatewayMetrics::storeCallFinished(const std::string &call, bool isGood)
 {
     m_storeCalls->with({call, isGood ? "good" : "failed"}).increment();
 }
 
-void GatewayMetrics::show(const GatewayState &state)
+void GatewayMetrics::updateGauges(const GatewayState &state)
 {
     m_openRequests->set(static_cast<double>(state.openRequests));
     m_waitingWork->set(static_cast<double>(state.waitingWork));
--- a/src/libs/gateway/gatewaymetrics.h
+++ b/src/libs/gateway/gatewaymetrics.h
@@ -50,9 +50,9 @@
 
     void requestEnded(const EndedRequest &request);
     void attemptFailed(const std::string &outcome);
-    void repeatAsked(bool isGranted);
-    void storeAnswered(const std::string &call, bool isGood);
-    void show(const GatewayState &state);
+    void retryRequested(bool isGranted);
+    void storeCallFinished(const std::string &call, bool isGood);
+    void updateGauges(const GatewayState &state);
     /// In Prometheus's text exposition format.
     std::string text() { return m_registry.text(); }
 
--- a/src/libs/gateway/httplane.cpp
+++ b/src/libs/gateway/httpclient.cpp
@@ -1,4 +1,4 @@
-#include "gateway/httplane.h"
+#include "gateway/httpclient.h"
 
 #include <boost/asio/ip/address_v4.hpp>
 #include <boost/asio/post.hpp>
--- a/src/libs/gateway/httptext.cpp
+++ b/src/libs/gateway/httptext.cpp
@@ -61,7 +61,7 @@
     return iequals(name, names.timeLeft) || iequals(name, names.customer)
            || iequals(name, names.expectedServer) || isAnyOf(name, names.reserved)
            || (!added.lastEventId.empty() && iequals(name, names.lastEventId))
-           || (added.dropsKey && iequals(name, "authorization"));
+           || (added.dropsAuthorization && iequals(name, "authorization"));
 }
 
 /// Beast gives a string_view of its own kind.
--- a/src/libs/gateway/httptext.h
+++ b/src/libs/gateway/httptext.h
@@ -29,7 +29,7 @@
     /// Replaces the caller's own; empty leaves it as it is.
     std::string lastEventId;
     /// Whether the caller's key must not reach the server.
-    bool dropsKey = true;
+    bool dropsAuthorization = true;
 };
 
 /// The text of \a request as it is sent to a server: method, target and body unchanged, without
--- a/src/libs/gateway/requestexaminer.cpp
+++ b/src/libs/gateway/requestvalidator.cpp
@@ -1,4 +1,4 @@
-#include "gateway/requestexaminer.h"
+#include "gateway/requestvalidator.h"
 
 #include "base/hash.h"
 #include "gateway/promptfields.h"
@@ -28,8 +28,8 @@
 
 } // namespace
 
-std::optional<Failure> RequestExaminer::examine(AcceptedRequest &accepted,
-                                                const ExaminedWith &known) const
+std::optional<Failure> RequestValidator::validate(AcceptedRequest &accepted,
+                                                  const ValidationContext &known) const
 {
     // A process that has just started must not deny what it does not know of.
     if (!known.table || !known.areServersKnown)
@@ -54,8 +54,8 @@
     return std::nullopt;
 }
 
-std::optional<Failure> RequestExaminer::identifyCustomer(AcceptedRequest &accepted,
-                                                         const ExaminedWith &known) const
+std::optional<Failure> RequestValidator::identifyCustomer(AcceptedRequest &accepted,
+                                                          const ValidationContext &known) const
 {
     if (!known.table->needsKey(*accepted.route))
         return std::nullopt;
@@ -70,7 +70,7 @@
     return std::nullopt;
 }
 
-void RequestExaminer::describeWork(AcceptedRequest &accepted) const
+void RequestValidator::describeWork(AcceptedRequest &accepted) const
 {
     const Request &message = accepted.request.message;
     const Base::TimePoint readAt = accepted.request.readAt;
--- a/src/libs/gateway/requestexaminer.h
+++ b/src/libs/gateway/requestvalidator.h
@@ -11,7 +11,7 @@
 namespace Gateway {
 
 /// What a host knows at the moment at which a request is looked at.
-struct ExaminedWith
+struct ValidationContext
 {
     /// Null before the first configuration.
     std::shared_ptr<const Routing::RouteTable> table;
@@ -23,21 +23,22 @@
 };
 
 /// Decides whether a request is in order, and describes it for the decisions that follow.
-class RequestExaminer
+class RequestValidator
 {
 public:
     /// \a names outlives the examiner.
-    explicit RequestExaminer(const HeaderNames &names)
+    explicit RequestValidator(const HeaderNames &names)
         : m_names(&names)
     {}
 
     /// Fills in \a accepted, of which the id and the message are given. Returns the failure that
     /// the request is answered with at once; empty if it was accepted.
-    std::optional<Failure> examine(AcceptedRequest &accepted, const ExaminedWith &known) const;
+    std::optional<Failure> validate(AcceptedRequest &accepted,
+                                    const ValidationContext &known) const;
 
 private:
     std::optional<Failure> identifyCustomer(AcceptedRequest &accepted,
-                                            const ExaminedWith &known) const;
+                                            const ValidationContext &known) const;
     void describeWork(AcceptedRequest &accepted) const;
 
     const HeaderNames *m_names;
--- a/src/libs/gateway/services.cpp
+++ b/src/libs/gateway/services.cpp
@@ -12,7 +12,7 @@
 constexpr double readingFactor = 1.15;
 
 /// Empty if the configuration does not tell what moving the memory of a token takes.
-std::optional<double> moveMsPerToken(const Routing::EngineTraits &engine)
+std::optional<double> transferMsPerToken(const Routing::EngineTraits &engine)
 {
     if (engine.bytesPerToken == 0 || engine.linkMbps == 0)
         return std::nullopt;
@@ -39,7 +39,7 @@
         return it->second;
     const auto [added, isNew] = m_services.emplace(
         name, Service{Routing::Dispatcher(traitsOf(name), m_zone), Routing::RetryShare(m_retries)});
-    added->second.dispatcher.setOthers(m_fleet->others());
+    added->second.dispatcher.setPeerLoad(m_fleet->others());
     serversRead();
     return added->second;
 }
@@ -61,7 +61,7 @@
         return traits;
     traits.isEngine = true;
     traits.memoryTokens = known->engine->memoryTokens;
-    traits.moveMsPerToken = moveMsPerToken(*known->engine);
+    traits.transferMsPerToken = transferMsPerToken(*known->engine);
     std::size_t servers = 0;
     for (const auto &[id, server] : m_replica->servers().servers())
         servers += server.service == name ? 1 : 0;
@@ -101,16 +101,16 @@
         it.retries.setAllowance(allowance);
 }
 
-void Services::othersChanged()
+void Services::peerLoadChanged()
 {
     for (auto &[name, it] : m_services)
-        it.dispatcher.othersChanged();
+        it.dispatcher.peerLoadChanged();
 }
 
-void Services::learnPartUses(const std::vector<Routing::PartUse> &uses, Base::TimePoint now)
+void Services::applyPartUses(const std::vector<Routing::PartUse> &uses, Base::TimePoint now)
 {
     for (auto &[name, it] : m_services)
-        it.dispatcher.learnPartUses(uses, now);
+        it.dispatcher.applyPartUses(uses, now);
 }
 
 void Services::report(Routing::HostLoad &load, Base::TimePoint now)
--- a/src/libs/gateway/services.h
+++ b/src/libs/gateway/services.h
@@ -40,8 +40,8 @@
     /// Slots and warm-up of servers may be others; none came or went by this.
     void serversRead();
     void retryAllowanceChanged(const Routing::RetryAllowance &allowance);
-    void othersChanged();
-    void learnPartUses(const std::vector<Routing::PartUse> &uses, Base::TimePoint now);
+    void peerLoadChanged();
+    void applyPartUses(const std::vector<Routing::PartUse> &uses, Base::TimePoint now);
 
     /// Fills in the levels of \a figures.
     void showLevels(LoadFigures &figures, Base::TimePoint now);
--- a/src/libs/gateway/settingswatcher.cpp
+++ b/src/libs/gateway/settingswatcher.cpp
@@ -15,7 +15,7 @@
         m_writtenAt = std::filesystem::last_write_time(m_file, ec);
 }
 
-Base::Result<std::optional<GatewaySettings>> SettingsWatcher::changed()
+Base::Result<std::optional<GatewaySettings>> SettingsWatcher::readIfChanged()
 {
     if (m_file.empty())
         return std::nullopt;
--- a/src/libs/gateway/settingswatcher.h
+++ b/src/libs/gateway/settingswatcher.h
@@ -17,7 +17,7 @@
     explicit SettingsWatcher(std::string file);
 
     /// The settings, if the file has changed; empty if not. Fails with Settings::SettingsFaults.
-    Base::Result<std::optional<GatewaySettings>> changed();
+    Base::Result<std::optional<GatewaySettings>> readIfChanged();
 
 private:
     std::string m_file;
--- a/src/libs/gateway/storeclient.cpp
+++ b/src/libs/gateway/storeclient.cpp
@@ -141,7 +141,7 @@
 void StoreClient::takeConfiguration(const ConfigurationReading &reading, const std::string &text,
                                     Base::TimePoint askedAt, bool isWatch)
 {
-    m_listener->storeAnswered("configuration", true);
+    m_listener->storeCallFinished("configuration", true);
     m_watchPause.reset();
     noteLane(m_isWatchGood, true, "configuration", "");
     // An older state than one already seen proves nothing and must not come into force.
@@ -172,7 +172,7 @@
 
 void StoreClient::configurationFailed(const char *why, Loss loss)
 {
-    m_listener->storeAnswered("configuration", false);
+    m_listener->storeCallFinished("configuration", false);
     noteLane(m_isWatchGood, false, "configuration", why);
     // A reading is answered at once where a watch is held: the store's return is noticed sooner.
     m_needsReading = m_needsReading || isReading();
@@ -192,9 +192,9 @@
     m_nextWatch = bootTimeNow() + (isProbe ? probePause : pauseAfterFailure(m_watchPause));
 }
 
-Base::Duration StoreClient::pauseAfterFailure(Routing::RetryPause &pause) const
+Base::Duration StoreClient::pauseAfterFailure(Routing::ExponentialBackoff &pause) const
 {
-    return pause.next(m_duty == Duty::ForZone ? longestPauseForZone : longestPause);
+    return pause.next(m_duty == ReaderRole::ForZone ? longestPauseForZone : longestPause);
 }
 
 void StoreClient::readServers(Base::TimePoint now)
@@ -218,7 +218,7 @@
         [&]() -> Base::Result<void> {
             BOOST_LEAF_AUTO(reading, m_protocol->servers(*answer));
             m_nextServers = askedAt + m_times.serverInterval;
-            m_listener->storeAnswered("servers", true);
+            m_listener->storeCallFinished("servers", true);
             m_readPause.reset();
             noteLane(m_isReadGood, true, "servers", "");
             if (reading.storeVersion < m_serversVersion) {
@@ -238,7 +238,7 @@
             // Told once a change: the same entry is read again twice a second for as long as it
             // lies there.
             if (std::exchange(m_unreadable, m_unreadablePages) != m_unreadablePages)
-                m_listener->unreadableChanged(m_unreadable);
+                m_listener->unreadableEntriesChanged(m_unreadable);
             m_listener->serversRead(m_pages, askedAt);
             return {};
         },
@@ -249,7 +249,7 @@
 
 void StoreClient::serversFailed(const char *why, Loss loss)
 {
-    m_listener->storeAnswered("servers", false);
+    m_listener->storeCallFinished("servers", false);
     noteLane(m_isReadGood, false, "servers", why);
     m_continueFrom.clear();
     if (loss == Loss::Connection) {
@@ -275,7 +275,7 @@
     }
     const bool isFirst = m_nextHostRead == Base::TimePoint{};
     // On a large fleet, who hears from the leader of its zone hears from it of all others, too.
-    const bool findsHosts = isFirst || m_findsHosts || m_duty == Duty::ForZone;
+    const bool findsHosts = isFirst || m_findsHosts || m_duty == ReaderRole::ForZone;
     if (now >= m_nextHostRead && findsHosts) {
         m_nextHostRead = now + (isFirst ? firstHostReadInterval : hostReadInterval);
         m_readLane->call(m_protocol->readHosts(), readTimeout, now, done);
@@ -284,7 +284,7 @@
     if (now < m_nextHostWrite || m_storeTime == Base::Milliseconds(0))
         return false;
     if (m_rowsToWrite.empty())
-        m_rowsToWrite = m_listener->rowsToKeep();
+        m_rowsToWrite = m_listener->rowsToRefresh();
     if (m_rowsToWrite.empty()) {
         m_nextHostWrite = now + hostWriteCheckInterval;
         return false;
@@ -314,7 +314,7 @@
 
 void StoreClient::hostsAnswered(const std::optional<HttpAnswer> &answer)
 {
-    m_listener->storeAnswered("hosts", answer.has_value());
+    m_listener->storeCallFinished("hosts", answer.has_value());
     if (!answer) {
         m_nextHostRead = bootTimeNow() + m_hostPause.next();
         return;
--- a/src/libs/gateway/storeclient.h
+++ b/src/libs/gateway/storeclient.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "base/time.h"
-#include "gateway/httplane.h"
+#include "gateway/httpclient.h"
+#include "gateway/storeintervals.h"
 #include "gateway/storeprotocol.h"
-#include "gateway/storetimes.h"
-#include "routing/retrypause.h"
+#include "routing/exponentialbackoff.h"
 #include "routing/routetable.h"
 
 #include <memory>
@@ -33,11 +33,11 @@
     /// meanwhile although their servers run.
     virtual void storeFailed() = 0;
     /// The entries of servers that could not be read are others than before.
-    virtual void unreadableChanged(const std::set<std::string> &entries) = 0;
-    virtual void storeAnswered(const char *call, bool isGood) = 0;
+    virtual void unreadableEntriesChanged(const std::set<std::string> &entries) = 0;
+    virtual void storeCallFinished(const char *call, bool isGood) = 0;
     virtual void hostsRead(const std::vector<HostRow> &hosts) = 0;
     /// Rows that this host is to keep fresh; empty if another host does that for it.
-    virtual std::vector<HostRow> rowsToKeep() const = 0;
+    virtual std::vector<HostRow> rowsToRefresh() const = 0;
 };
 
 /// Keeps this host in touch with the platform's store: the configuration, the backend servers'
@@ -49,9 +49,9 @@
 /// answer a watch without the changes of the last moment. The servers' entries change all the
 /// time with their heartbeats, so they are read whole at an interval.
 ///
-/// All this is done only while this host is to read for itself or others (setDuty()). Else it
+/// All this is done only while this host is to read for itself or others (setReaderRole()). Else it
 /// reads once, and again when it is told that something has changed; and not even once while other
-/// hosts may hand it what they have read (setHeld()).
+/// hosts may hand it what they have read (setReadsDeferred()).
 ///
 /// Load: the store is down, or turns some hosts away, and every call is paid for. The pauses
 /// between failed calls grow, and a host that others stand in for only asks now and then whether
@@ -59,7 +59,7 @@
 class StoreClient
 {
 public:
-    enum class Duty {
+    enum class ReaderRole {
         None,    ///< Another host reads for this one.
         Self,    ///< Nobody has read for this host of late.
         ForZone, ///< Others take what this host reads.
@@ -72,12 +72,12 @@
 
     /// Does what is due. Call it every few ten milliseconds.
     void advance(Base::TimePoint now);
-    void setDuty(Duty duty) { m_duty = duty; }
-    void setTimes(const StoreTimes &times) { m_times = times; }
+    void setReaderRole(ReaderRole duty) { m_duty = duty; }
+    void setIntervals(const StoreIntervals &times) { m_times = times; }
     /// Whether the rows are read again at times, also by a host that others read for.
-    void setFindsHosts(bool findsHosts) { m_findsHosts = findsHosts; }
+    void setHostDiscoveryEnabled(bool findsHosts) { m_findsHosts = findsHosts; }
     /// While held, only the rows of hosts are read and written.
-    void setHeld(bool isHeld) { m_isHeld = isHeld; }
+    void setReadsDeferred(bool isHeld) { m_isHeld = isHeld; }
     /// Whether the newest call for the configuration failed.
     bool isLost() const { return !m_isWatchGood; }
     /// Whether the store has answered that there is no configuration yet.
@@ -116,8 +116,8 @@
     bool callForHosts(Base::TimePoint now);
     void writeHosts(Base::TimePoint now);
     void hostsAnswered(const std::optional<HttpAnswer> &answer);
-    bool isReading() const { return m_duty != Duty::None; }
-    Base::Duration pauseAfterFailure(Routing::RetryPause &pause) const;
+    bool isReading() const { return m_duty != ReaderRole::None; }
+    Base::Duration pauseAfterFailure(Routing::ExponentialBackoff &pause) const;
     void noteLane(bool &isGood, bool isGoodNow, const char *what, const char *why);
 
     const StoreProtocol *m_protocol;
@@ -132,8 +132,8 @@
     /// Of the newest answer.
     std::uint64_t m_newestVersion = 0;
     std::uint64_t m_configurationVersion = 0;
-    StoreTimes m_times;
-    Duty m_duty = Duty::Self;
+    StoreIntervals m_times;
+    ReaderRole m_duty = ReaderRole::Self;
     bool m_isHeld = false;
     bool m_findsHosts = true;
     bool m_needsReading = true;
@@ -148,9 +148,9 @@
     std::string m_continueFrom;
     std::uint64_t m_serversVersion = 0;
     Base::TimePoint m_nextServers{};
-    Routing::RetryPause m_watchPause;
-    Routing::RetryPause m_readPause;
-    Routing::RetryPause m_hostPause;
+    Routing::ExponentialBackoff m_watchPause;
+    Routing::ExponentialBackoff m_readPause;
+    Routing::ExponentialBackoff m_hostPause;
 
     /// The store's clock when it was last told, and when that was.
     Base::Milliseconds m_storeTime{0};
--- a/src/libs/gateway/knowledgecopy.cpp
+++ b/src/libs/gateway/storecopy.cpp
@@ -1,4 +1,4 @@
-#include "gateway/knowledgecopy.h"
+#include "gateway/storecopy.h"
 
 #include <nlohmann/json.hpp>
 
@@ -14,9 +14,9 @@
 
 } // namespace
 
-const char *pathOf(Knowledge what)
+const char *pathOf(StoreData what)
 {
-    return what == Knowledge::Configuration ? "/configuration" : "/servers";
+    return what == StoreData::Configuration ? "/configuration" : "/servers";
 }
 
 std::string encodeCopy(const ConfigurationCopy &copy)
--- a/src/libs/gateway/knowledgecopy.h
+++ b/src/libs/gateway/storecopy.h
@@ -11,10 +11,10 @@
 namespace Gateway {
 
 /// What one host knows of the store and hands to another one.
-enum class Knowledge : std::uint8_t { Configuration, Servers };
+enum class StoreData : std::uint8_t { Configuration, Servers };
 
 /// Path of \a what at a host's peer address, over HTTP.
-const char *pathOf(Knowledge what);
+const char *pathOf(StoreData what);
 
 /// The configuration that a host has in force.
 struct ConfigurationCopy
@@ -37,10 +37,10 @@
 
 /// Where a host's knowledge of the store is taken from. Empty while nothing is known, or while
 /// there has been no proof of it of late: whoever asked is to ask the store.
-class KnowledgeSource
+class StoreCopySource
 {
 public:
-    virtual ~KnowledgeSource() = default;
+    virtual ~StoreCopySource() = default;
     virtual std::optional<ConfigurationCopy> configurationCopy() const = 0;
     /// A report whose changes of servers are all that are usable, each as found.
     virtual std::optional<HostReport> serversCopy() const = 0;
--- a/src/libs/gateway/knowledgeclient.cpp
+++ b/src/libs/gateway/storecopyclient.cpp
@@ -1,4 +1,4 @@
-#include "gateway/knowledgeclient.h"
+#include "gateway/storecopyclient.h"
 
 #include "gateway/boottime.h"
 #include "gateway/eventlog.h"
@@ -19,21 +19,21 @@
 
 } // namespace
 
-KnowledgeClient::KnowledgeClient(boost::asio::io_context &io, KnowledgeListener &listener,
+StoreCopyClient::StoreCopyClient(boost::asio::io_context &io, StoreCopyListener &listener,
                                  EventLog &log)
     : m_io(&io)
     , m_listener(&listener)
     , m_log(&log)
 {}
 
-void KnowledgeClient::want(Knowledge what, const std::string &peerAddress)
+void StoreCopyClient::requestCopy(StoreData what, const std::string &peerAddress)
 {
     Question &question = m_questions[what];
     question.isWanted = true;
     question.peerAddress = peerAddress;
 }
 
-void KnowledgeClient::advance(Base::TimePoint now)
+void StoreCopyClient::advance(Base::TimePoint now)
 {
     if (m_lane)
         m_lane->checkTime(now);
@@ -45,7 +45,7 @@
     }
 }
 
-void KnowledgeClient::ask(Knowledge what, Question &question, Base::TimePoint now)
+void StoreCopyClient::ask(StoreData what, Question &question, Base::TimePoint now)
 {
     question.isWanted = false;
     question.nextAt = now + copyInterval;
@@ -64,7 +64,7 @@
                  });
 }
 
-void KnowledgeClient::answered(Knowledge what, const std::optional<HttpAnswer> &answer,
+void StoreCopyClient::answered(StoreData what, const std::optional<HttpAnswer> &answer,
                                Base::TimePoint askedAt)
 {
     if (!answer || answer->status != 200) {
@@ -73,7 +73,7 @@
     }
     boost::leaf::try_handle_all(
         [&]() -> Base::Result<void> {
-            if (what == Knowledge::Configuration) {
+            if (what == StoreData::Configuration) {
                 BOOST_LEAF_AUTO(copy, decodeCopy(answer->body));
                 m_listener->configurationCopied(copy, askedAt);
                 return {};
@@ -85,7 +85,7 @@
         [&] { failed(what, "malformed"); });
 }
 
-void KnowledgeClient::failed(Knowledge what, const char *why)
+void StoreCopyClient::failed(StoreData what, const char *why)
 {
     m_log->write(LogLine("copy.failed")
                      .add("what", pathOf(what) + 1)
--- a/src/libs/gateway/knowledgehandler.cpp
+++ b/src/libs/gateway/storecopyhandler.cpp
@@ -1,4 +1,4 @@
-#include "gateway/knowledgehandler.h"
+#include "gateway/storecopyhandler.h"
 
 #include <string>
 
@@ -24,12 +24,12 @@
 
 } // namespace
 
-std::shared_ptr<ActiveRequest> KnowledgeHandler::handle(CallerRequest request, AnswerSink &sink)
+std::shared_ptr<ActiveRequest> StoreCopyHandler::handle(CallerRequest request, AnswerSink &sink)
 {
     const std::string path(request.message.target());
-    if (path == pathOf(Knowledge::Configuration))
+    if (path == pathOf(StoreData::Configuration))
         answerCopy(sink, m_source->configurationCopy(), encodeCopy);
-    else if (path == pathOf(Knowledge::Servers))
+    else if (path == pathOf(StoreData::Servers))
         answerCopy(sink, m_source->serversCopy(), encodeReport);
     else
         answer(sink, Http::status::not_found, {});
--- a/src/libs/gateway/storetimes.cpp
+++ b/src/libs/gateway/storeintervals.cpp
@@ -1,4 +1,4 @@
-#include "gateway/storetimes.h"
+#include "gateway/storeintervals.h"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The bound that the times of a default StoreTimes are made for.
+/// The bound that the times of a default StoreIntervals are made for.
 constexpr double plainBoundMs = 2000;
 /// Shorter times would meet reports that are still under way.
 constexpr double leastStretch = 0.75;
@@ -25,9 +25,9 @@
 
 } // namespace
 
-StoreTimes StoreTimes::within(const ChangeBounds &bounds)
+StoreIntervals StoreIntervals::within(const ChangeBounds &bounds)
 {
-    const StoreTimes plain;
+    const StoreIntervals plain;
     const double change = milliseconds(std::min(bounds.configuration, bounds.leaving));
     // A host that reads itself must have its proof before the keys' time is over, also if its first
     // try is slow.
--- a/src/libs/gateway/storetimes.h
+++ b/src/libs/gateway/storeintervals.h
@@ -29,7 +29,7 @@
 /// Each call is paid for, and the readers of a fleet call all the time: 3.7 times a second for each
 /// availability zone under bounds of two seconds, half of that under bounds of four. So the times
 /// are as long as the bounds allow.
-struct StoreTimes
+struct StoreIntervals
 {
     /// How long the store holds a watch. A configuration is proved current once in this time.
     Base::Milliseconds watchWait{500};
@@ -43,7 +43,7 @@
 
     /// With these times a host that has to read itself still keeps all of \a bounds, if each is a
     /// second and a half at least.
-    static StoreTimes within(const ChangeBounds &bounds);
+    static StoreIntervals within(const ChangeBounds &bounds);
 };
 
 } // namespace Gateway
--- a/src/libs/gateway/storereplica.cpp
+++ b/src/libs/gateway/storereplica.cpp
@@ -59,7 +59,7 @@
     : m_parts(parts)
     , m_self{settings.host, settings.zone, toString(settings.peerAddress)}
     , m_keyRevocation(settings.keyRevocation)
-    , m_times(StoreTimes::within(boundsOf(settings)))
+    , m_times(StoreIntervals::within(boundsOf(settings)))
     , m_store(parts.io, settings.storeAddress, parts.protocol, m_self, *this, parts.log)
     , m_copies(parts.io, *this, parts.log)
     , m_handler(*this)
@@ -67,7 +67,7 @@
     , m_servers(returnGrace)
     , m_startedAt(bootTimeNow())
 {
-    m_store.setTimes(m_times);
+    m_store.setIntervals(m_times);
 }
 
 Base::Result<void> StoreReplica::listen(const Settings::Address &peerAddress)
@@ -83,9 +83,9 @@
     // again meanwhile, it would make hosts that were in touch all the time send to servers that
     // left.
     m_parts.fleet.setStoreLost(isStoreLost(now), now);
-    m_store.setDuty(readingDuty(now));
-    m_store.setHeld(waitsForCopy(now));
-    m_store.setFindsHosts(!m_parts.fleet.isLarge());
+    m_store.setReaderRole(readingDuty(now));
+    m_store.setReadsDeferred(waitsForCopy(now));
+    m_store.setHostDiscoveryEnabled(!m_parts.fleet.isLarge());
     m_copies.advance(now);
     m_store.advance(now);
 }
@@ -94,8 +94,8 @@
 {
     m_keyRevocation = settings.keyRevocation;
     m_lease.setLength(leaseLength(settings.keyRevocation));
-    m_times = StoreTimes::within(boundsOf(settings));
-    m_store.setTimes(m_times);
+    m_times = StoreIntervals::within(boundsOf(settings));
+    m_store.setIntervals(m_times);
 }
 
 void StoreReplica::leave()
@@ -106,7 +106,7 @@
 
 bool StoreReplica::isStoreLost(Base::TimePoint now) const
 {
-    return m_store.isLost() || !m_servers.isSettled(now);
+    return m_store.isLost() || !m_servers.isAuthoritative(now);
 }
 
 bool StoreReplica::waitsForCopy(Base::TimePoint now) const
@@ -116,17 +116,17 @@
     return !m_parts.fleet.isLeader(now) || now - m_startedAt < aloneAfter;
 }
 
-StoreClient::Duty StoreReplica::readingDuty(Base::TimePoint now) const
+StoreClient::ReaderRole StoreReplica::readingDuty(Base::TimePoint now) const
 {
     if (m_parts.fleet.isLeader(now))
-        return StoreClient::Duty::ForZone;
+        return StoreClient::ReaderRole::ForZone;
     // Nobody has a configuration yet, and the leader is the first to hear of one.
     if (m_store.isConfigurationMissing())
-        return StoreClient::Duty::None;
+        return StoreClient::ReaderRole::None;
     const std::optional<Base::Duration> age = m_lease.age(now);
     const bool isOwnNeed = !m_table || !m_servers.isKnown() || !age || *age >= m_times.readAfter
                            || now - m_serversProvedAt >= m_times.readAfter;
-    return isOwnNeed ? StoreClient::Duty::Self : StoreClient::Duty::None;
+    return isOwnNeed ? StoreClient::ReaderRole::Self : StoreClient::ReaderRole::None;
 }
 
 StoreKnowledge StoreReplica::knowledge(Base::TimePoint now) const
@@ -134,7 +134,7 @@
     StoreKnowledge store;
     store.configurationVersion = version();
     store.serversFingerprint = m_servers.fingerprint();
-    if (const std::optional<Base::TimePoint> lostAt = m_servers.storeAwayAt())
+    if (const std::optional<Base::TimePoint> lostAt = m_servers.storeUnreachableSince())
         store.lossAge = std::chrono::floor<Base::Milliseconds>(now - *lostAt);
     if (!m_ownProofAt || !m_servers.isKnown())
         return store;
@@ -157,7 +157,7 @@
         return;
     const bool isOlder = version() < store.configurationVersion;
     if (isOlder)
-        m_copies.want(Knowledge::Configuration, report.self.peerAddress);
+        m_copies.requestCopy(StoreData::Configuration, report.self.peerAddress);
     // Older than this host's own reading, it could bring back a server that is gone.
     const bool isNewEnough = store.serversVersion >= m_store.serversVersion();
     if (m_servers.isKnown() && isNewEnough) {
@@ -167,7 +167,7 @@
     const bool hasOtherServers = store.serversFingerprint != m_servers.fingerprint();
     // A leader's own reading is the newest there is.
     if (hasOtherServers && isNewEnough && !m_parts.fleet.isLeader(now))
-        m_copies.want(Knowledge::Servers, report.self.peerAddress);
+        m_copies.requestCopy(StoreData::Servers, report.self.peerAddress);
     // The other host answered after this one's report was sent, so its question to the store was
     // sent at most the age that it tells before that moment, however long the answer was under way.
     const std::optional<Base::TimePoint> askedAt = m_parts.fleet.echoedAt(report);
@@ -219,14 +219,14 @@
     m_servers.storeFailed(bootTimeNow());
 }
 
-void StoreReplica::unreadableChanged(const std::set<std::string> &entries)
+void StoreReplica::unreadableEntriesChanged(const std::set<std::string> &entries)
 {
-    m_parts.listener.unreadableChanged(entries);
+    m_parts.listener.unreadableEntriesChanged(entries);
 }
 
-void StoreReplica::storeAnswered(const char *call, bool isGood)
+void StoreReplica::storeCallFinished(const char *call, bool isGood)
 {
-    m_parts.listener.storeAnswered(call, isGood);
+    m_parts.listener.storeCallFinished(call, isGood);
 }
 
 void StoreReplica::hostsRead(const std::vector<HostRow> &hosts)
@@ -238,11 +238,11 @@
     const HostRow *neighbour = firstOf(hosts, m_self);
     if (!neighbour)
         return;
-    m_copies.want(Knowledge::Configuration, neighbour->peerAddress);
-    m_copies.want(Knowledge::Servers, neighbour->peerAddress);
+    m_copies.requestCopy(StoreData::Configuration, neighbour->peerAddress);
+    m_copies.requestCopy(StoreData::Servers, neighbour->peerAddress);
 }
 
-std::vector<HostRow> StoreReplica::rowsToKeep() const
+std::vector<HostRow> StoreReplica::rowsToRefresh() const
 {
     std::vector<HostRow> rows{m_self};
     // Each host of a small fleet has to be found by each other one: while only leaders had rows,
@@ -276,7 +276,7 @@
         [&] {
             m_parts.log.write(LogLine("copy.unreadable").add("what", "configuration"),
                               bootTimeNow());
-            copyFailed(Knowledge::Configuration);
+            copyFailed(StoreData::Configuration);
         });
 }
 
@@ -315,10 +315,10 @@
     m_parts.listener.serversRead();
 }
 
-void StoreReplica::copyFailed(Knowledge what)
+void StoreReplica::copyFailed(StoreData what)
 {
     m_hasCopyFailed = true;
-    if (what == Knowledge::Configuration)
+    if (what == StoreData::Configuration)
         m_store.configurationChanged();
     else
         m_store.serversChanged();
@@ -337,7 +337,7 @@
     const Base::TimePoint now = bootTimeNow();
     const Base::Duration age = now - m_serversProvedAt;
     // A list that was read within the grace after an outage still has servers that are gone.
-    const bool isWhole = m_servers.isKnown() && m_servers.isSettled(m_serversProvedAt);
+    const bool isWhole = m_servers.isKnown() && m_servers.isAuthoritative(m_serversProvedAt);
     if (!isWhole || age >= m_times.readAfter || isStoreLost(now))
         return std::nullopt;
     HostReport report;
--- a/src/libs/gateway/storereplica.h
+++ b/src/libs/gateway/storereplica.h
@@ -4,10 +4,10 @@
 #include "gateway/fleetview.h"
 #include "gateway/gatewaysettings.h"
 #include "gateway/httplistener.h"
-#include "gateway/knowledgeclient.h"
-#include "gateway/knowledgehandler.h"
 #include "gateway/storeclient.h"
-#include "gateway/storetimes.h"
+#include "gateway/storecopyclient.h"
+#include "gateway/storecopyhandler.h"
+#include "gateway/storeintervals.h"
 #include "routing/configurationlease.h"
 #include "routing/serverset.h"
 
@@ -32,8 +32,8 @@
     virtual void serversChanged(const Routing::ServerChanges &changes, bool isNews) = 0;
     /// Slots and warm-up of servers may be others; none came or went by this.
     virtual void serversRead() = 0;
-    virtual void unreadableChanged(const std::set<std::string> &entries) = 0;
-    virtual void storeAnswered(const char *call, bool isGood) = 0;
+    virtual void unreadableEntriesChanged(const std::set<std::string> &entries) = 0;
+    virtual void storeCallFinished(const char *call, bool isGood) = 0;
 };
 
 /// What this host knows of the store: the configuration with its lease, and the backend servers.
@@ -45,7 +45,7 @@
 /// A copy or a proof never takes a host back: a configuration counts by its version, a list of
 /// servers by the store's version at its reading, and a proof by the moment at which the question
 /// was sent whose answer proved it. \sa Routing::ConfigurationLease
-class StoreReplica final : public StoreListener, public KnowledgeListener, public KnowledgeSource
+class StoreReplica final : public StoreListener, public StoreCopyListener, public StoreCopySource
 {
 public:
     struct Parts
@@ -88,14 +88,14 @@
     void serversRead(const std::vector<Routing::RegisteredServer> &servers,
                      Base::TimePoint askedAt) override;
     void storeFailed() override;
-    void unreadableChanged(const std::set<std::string> &entries) override;
-    void storeAnswered(const char *call, bool isGood) override;
+    void unreadableEntriesChanged(const std::set<std::string> &entries) override;
+    void storeCallFinished(const char *call, bool isGood) override;
     void hostsRead(const std::vector<HostRow> &hosts) override;
-    std::vector<HostRow> rowsToKeep() const override;
+    std::vector<HostRow> rowsToRefresh() const override;
 
     void configurationCopied(const ConfigurationCopy &copy, Base::TimePoint askedAt) override;
     void serversCopied(const HostReport &report, Base::TimePoint askedAt) override;
-    void copyFailed(Knowledge what) override;
+    void copyFailed(StoreData what) override;
 
     std::optional<ConfigurationCopy> configurationCopy() const override;
     std::optional<HostReport> serversCopy() const override;
@@ -103,7 +103,7 @@
 private:
     StoreReplica(const GatewaySettings &settings, const Parts &parts);
     Base::Result<void> listen(const Settings::Address &peerAddress);
-    StoreClient::Duty readingDuty(Base::TimePoint now) const;
+    StoreClient::ReaderRole readingDuty(Base::TimePoint now) const;
     /// Whether a host that has just started leaves the store alone and waits for a copy.
     bool waitsForCopy(Base::TimePoint now) const;
     void takeTable(std::shared_ptr<const Routing::RouteTable> table, const std::string &text);
@@ -114,11 +114,11 @@
     Parts m_parts;
     HostRow m_self;
     Base::Milliseconds m_keyRevocation;
-    StoreTimes m_times;
+    StoreIntervals m_times;
     ConnectionLimits m_limits;
     StoreClient m_store;
-    KnowledgeClient m_copies;
-    KnowledgeHandler m_handler;
+    StoreCopyClient m_copies;
+    StoreCopyHandler m_handler;
     std::unique_ptr<HttpListener> m_peers;
     std::shared_ptr<const Routing::RouteTable> m_table;
     /// The store's answer that the table was read from.
--- a/src/libs/node/attempt.cpp
+++ b/src/libs/node/attempt.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-Scheduling::AttemptRan ranOf(SendState sent)
+Scheduling::AttemptExecution ranOf(SendState sent)
 {
     switch (sent) {
     case SendState::NeverSent:
-        return Scheduling::AttemptRan::NeverSent;
+        return Scheduling::AttemptExecution::NeverSent;
     case SendState::Refused:
-        return Scheduling::AttemptRan::Refused;
+        return Scheduling::AttemptExecution::Refused;
     case SendState::MaybeRan:
         break;
     }
-    return Scheduling::AttemptRan::MaybeRan;
+    return Scheduling::AttemptExecution::MaybeRan;
 }
 
 } // namespace
--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -380,7 +380,7 @@
 
 Base::RequestKey EntryRequests::newKey()
 {
-    const Coordination::MembershipSelf &self = m_context.membership.self();
+    const Coordination::RouterIdentity &self = m_context.membership.self();
     return {self.host, self.incarnation, ++m_lastSerial};
 }
 
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -291,7 +291,7 @@
                    Base::TimePoint now)
 {
     m_membership->receive(message, now);
-    m_configuration->notePeer(from, message.configurationVersion, now);
+    m_configuration->recordPeerVersion(from, message.configurationVersion, now);
     const auto changes =
         m_configuration->changesToPush(message.configurationVersion, changesPerPush, now);
     if (!changes.empty())
@@ -361,12 +361,12 @@
 
 void Node::receive(const Base::HostId &, const ConfigurationPush &message, Base::TimePoint)
 {
-    m_configuration->learn(message.changes);
+    m_configuration->applyChanges(message.changes);
 }
 
 void Node::receive(const Base::HostId &, const ConfigurationSnapshot &message, Base::TimePoint)
 {
-    m_configuration->learnSnapshot(message.configuration);
+    m_configuration->applySnapshot(message.configuration);
 }
 
 void Node::receive(const Base::HostId &from, const ConfigurationPull &message, Base::TimePoint)
--- a/src/libs/node/nodesettings.h
+++ b/src/libs/node/nodesettings.h
@@ -24,7 +24,7 @@
 /// reasons.
 struct NodeSettings
 {
-    Coordination::MembershipSelf self;
+    Coordination::RouterIdentity self;
     Coordination::MembershipPolicy membership;
     Coordination::LedgerPolicy ledger;
     Coordination::TrafficBudget traffic;
--- a/src/libs/node/poolhome.cpp
+++ b/src/libs/node/poolhome.cpp
@@ -135,7 +135,7 @@
         refuse(work, *refusal);
         return;
     }
-    if (m_queue.waitingOf(work.customer) == 0) {
+    if (m_queue.waitingCount(work.customer) == 0) {
         const std::optional<Base::CustomerId> least = m_queue.leastServed(*m_ledger);
         std::vector<Base::CustomerId> others = m_standing;
         if (others.empty() && least)
@@ -252,7 +252,7 @@
 {
     const std::optional<Base::Duration> typical = typicalFirstToken();
     for (auto &[id, state] : m_servers) {
-        state.limiter.setPeersFirstToken(typical);
+        state.limiter.setPeerTimeToFirstToken(typical);
         state.limiter.advance(state.inUse, now);
     }
     for (const Scheduling::WaitingWork &work : m_queue.takeExpired(now)) {
@@ -281,7 +281,7 @@
 Coordination::PoolSummary PoolHome::summary() const
 {
     std::size_t freePermits = 0;
-    for (const Scheduling::ServerChoice &choice : freeServers())
+    for (const Scheduling::ServerCandidate &choice : freeServers())
         freePermits += choice.limit - choice.inUse;
     return {m_pool, m_shard, static_cast<std::uint32_t>(m_queue.size()),
             static_cast<std::uint32_t>(freePermits), m_drain.rate(permitLimit())};
@@ -340,7 +340,7 @@
 {
     std::vector<Base::Duration> times;
     for (const auto &[id, state] : m_servers) {
-        if (const auto quickest = state.limiter.quickestFirstToken())
+        if (const auto quickest = state.limiter.minTimeToFirstToken())
             times.push_back(*quickest);
     }
     if (times.size() < 2)
@@ -353,7 +353,7 @@
 void PoolHome::dispatch(Base::TimePoint now)
 {
     while (!m_queue.isEmpty()) {
-        const std::vector<Scheduling::ServerChoice> choices = freeServers();
+        const std::vector<Scheduling::ServerCandidate> choices = freeServers();
         if (choices.empty())
             return;
         const std::optional<Scheduling::WaitingWork> work = m_queue.takeNext(*m_ledger, *this, now);
@@ -368,9 +368,9 @@
     }
 }
 
-std::vector<Scheduling::ServerChoice> PoolHome::freeServers() const
+std::vector<Scheduling::ServerCandidate> PoolHome::freeServers() const
 {
-    std::vector<Scheduling::ServerChoice> choices;
+    std::vector<Scheduling::ServerCandidate> choices;
     for (const auto &[id, state] : m_servers) {
         const std::size_t limit = state.limiter.limit();
         if (!state.isUsable || state.inUse >= limit)
@@ -400,7 +400,7 @@
 {
     const Permit &permit = it->second;
     m_ledger->releaseHold(permit.customer, permit.held);
-    m_queue.positionLowered(permit.customer);
+    m_queue.invalidatePosition(permit.customer);
     const auto server = m_servers.find(permit.server);
     if (server != m_servers.end() && server->second.inUse > 0)
         --server->second.inUse;
@@ -413,7 +413,7 @@
 {
     Scheduling::PoolState state;
     state.waiting = m_queue.size();
-    state.waitingOfCustomer = m_queue.waitingOf(customer);
+    state.waitingOfCustomer = m_queue.waitingCount(customer);
     state.backloggedCustomers = m_queue.backloggedCount();
     if (state.waitingOfCustomer == 0)
         ++state.backloggedCustomers;
@@ -450,7 +450,7 @@
         return;
     m_nextStanding = now + standingCheckInterval;
     std::erase_if(m_backloggedSince,
-                  [&](const auto &entry) { return m_queue.waitingOf(entry.first) == 0; });
+                  [&](const auto &entry) { return m_queue.waitingCount(entry.first) == 0; });
     m_standing.clear();
     for (const auto &[customer, since] : m_backloggedSince) {
         if (now - since >= standingAfter)
--- a/src/libs/node/poolhome.h
+++ b/src/libs/node/poolhome.h
@@ -109,7 +109,7 @@
     /// Median of the servers' quickest first tokens; empty with fewer than two servers.
     std::optional<Base::Duration> typicalFirstToken() const;
     void dispatch(Base::TimePoint now);
-    std::vector<Scheduling::ServerChoice> freeServers() const;
+    std::vector<Scheduling::ServerCandidate> freeServers() const;
     void grant(const Scheduling::WaitingWork &work, const Base::ServerId &server,
                Base::TimePoint now);
     void endPermit(std::map<AttemptId, Permit>::iterator it);
--- a/src/libs/node/poolhomes.cpp
+++ b/src/libs/node/poolhomes.cpp
@@ -41,7 +41,7 @@
     if (!account)
         return;
     const bool isFolded = account->merge(delta) == Coordination::MergeResult::SenderIsFolded;
-    if (isFolded || delta.isAsking)
+    if (isFolded || delta.isSnapshotRequest)
         m_context.outbox.post(from, account->snapshot());
 }
 
@@ -120,7 +120,7 @@
                                                          static_cast<std::uint32_t>(ask->count)});
         return;
     }
-    for (const Scheduling::Handover &handover : planner.planForAskers(home.waiting(), now))
+    for (const Scheduling::Handover &handover : planner.planForPendingAsks(home.waiting(), now))
         handOver(home, handover, false, now);
     for (const Scheduling::Handover &handover :
          planner.plan(key.second, shards(key.first, now), now))
@@ -209,7 +209,7 @@
     const auto it = m_ledgers.find(pool);
     if (it != m_ledgers.end())
         return it->second.get();
-    const Coordination::MembershipSelf &self = m_context.settings.self;
+    const Coordination::RouterIdentity &self = m_context.settings.self;
     auto created = Coordination::ServiceLedger::create(m_context.settings.ledger, self.host,
                                                        self.incarnation, pool);
     if (!created)
--- a/src/libs/routing/costobserver.cpp
+++ b/src/libs/routing/costobserver.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-void CostObserver::noteIdle(Base::TimePoint now)
+void CostObserver::recordIdle(Base::TimePoint now)
 {
     beginSpan(now);
 }
--- a/src/libs/routing/costobserver.h
+++ b/src/libs/routing/costobserver.h
@@ -19,7 +19,7 @@
     {}
 
     /// Nothing was left to do at \a now.
-    void noteIdle(Base::TimePoint now);
+    void recordIdle(Base::TimePoint now);
     /// Work was done that is reckoned to take \a cost.
     void addWork(Base::Duration cost) { m_reckoned += cost; }
     /// Looks at the time; call it with each request.
--- a/src/libs/routing/customerpacer.cpp
+++ b/src/libs/routing/customerratelimiter.cpp
@@ -1,4 +1,4 @@
-#include "routing/customerpacer.h"
+#include "routing/customerratelimiter.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/libs/routing/customershares.cpp
+++ b/src/libs/routing/customershares.cpp
@@ -1,6 +1,6 @@
 #include "routing/customershares.h"
 
-#include "routing/fairlevel.h"
+#include "routing/maxminlevel.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/libs/routing/customershares.h
+++ b/src/libs/routing/customershares.h
@@ -2,8 +2,8 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "routing/customerpacer.h"
-#include "routing/fadingmeter.h"
+#include "routing/customerratelimiter.h"
+#include "routing/decayingsum.h"
 #include "routing/fleetload.h"
 
 #include <deque>
@@ -38,7 +38,7 @@
     /// for anybody.
     void setCrowding(double crowding) { m_crowding = crowding; }
     /// Outlives this; changes with time.
-    void setOthers(const OthersLoad &others) { m_others = &others; }
+    void setPeerLoad(const PeerLoad &others) { m_others = &others; }
 
     void recordDemand(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
     void recordSent(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
@@ -83,7 +83,7 @@
         std::map<Base::CustomerId, double> asked;
     };
 
-    const OthersLoad *m_others = nullptr;
+    const PeerLoad *m_others = nullptr;
     double m_tokensPerSecond = 0;
     double m_crowding = 0;
     FadingMeter m_asked;
--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -84,17 +84,17 @@
         next[server.id].server = server;
     }
     m_servers = std::move(next);
-    othersChanged();
+    peerLoadChanged();
 }
 
-void Dispatcher::setOthers(const OthersLoad &others)
+void Dispatcher::setPeerLoad(const PeerLoad &others)
 {
     m_others = &others;
-    m_shares.setOthers(others);
-    othersChanged();
+    m_shares.setPeerLoad(others);
+    peerLoadChanged();
 }
 
-void Dispatcher::othersChanged()
+void Dispatcher::peerLoadChanged()
 {
     if (!m_others)
         return;
@@ -162,7 +162,7 @@
     return decisions;
 }
 
-void Dispatcher::turnedAwayBefore(const Work &work, Base::TimePoint now)
+void Dispatcher::recordTurnedAway(const Work &work, Base::TimePoint now)
 {
     m_shares.recordDemand(work.customer, tokensOf(work), now);
 }
@@ -247,7 +247,7 @@
     m_partUses.clear();
 }
 
-void Dispatcher::learnPartUses(const std::vector<PartUse> &uses, Base::TimePoint now)
+void Dispatcher::applyPartUses(const std::vector<PartUse> &uses, Base::TimePoint now)
 {
     for (const PartUse &use : uses) {
         const auto server = m_servers.find(use.server);
@@ -320,7 +320,7 @@
                                                 Base::TimePoint now) const
 {
     std::vector<PrefixKeeper> keepers;
-    if (chain.empty() || !m_cost.traits().moveMsPerToken)
+    if (chain.empty() || !m_cost.traits().transferMsPerToken)
         return keepers;
     for (const auto &[id, state] : m_servers) {
         // A fetch from a server that has failed this request, or others of late, would hang or
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -3,10 +3,10 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "routing/customershares.h"
-#include "routing/fairwaiting.h"
+#include "routing/fairwaitqueue.h"
 #include "routing/fleetload.h"
 #include "routing/prefixfetch.h"
-#include "routing/promptcache.h"
+#include "routing/promptcachemodel.h"
 #include "routing/servercost.h"
 #include "routing/serverhealth.h"
 #include "routing/serverset.h"
@@ -45,16 +45,16 @@
     void setTraits(const ServiceTraits &traits);
     /// The servers that may get work now.
     void setServers(const std::vector<RegisteredServer> &servers);
-    /// \a others changes with time and outlives the dispatcher; othersChanged() is to follow each
+    /// \a others changes with time and outlives the dispatcher; peerLoadChanged() is to follow each
     /// change.
-    void setOthers(const OthersLoad &others);
-    void othersChanged();
+    void setPeerLoad(const PeerLoad &others);
+    void peerLoadChanged();
 
     /// Work that arrives, or comes back after a failed attempt.
     Decisions submit(Work work, Base::TimePoint now);
     /// Work that this host turned away before it came here. It is demand all the same: without it
     /// the fleet believes that its customer lacks nothing.
-    void turnedAwayBefore(const Work &work, Base::TimePoint now);
+    void recordTurnedAway(const Work &work, Base::TimePoint now);
     /// Work that waits and is no longer wanted.
     void withdraw(WorkId id);
     /// The first event of placed work came.
@@ -69,7 +69,7 @@
     /// Adds this host's load to \a load.
     void report(HostLoad &load, Base::TimePoint now);
     /// What another host sent to the servers.
-    void learnPartUses(const std::vector<PartUse> &uses, Base::TimePoint now);
+    void applyPartUses(const std::vector<PartUse> &uses, Base::TimePoint now);
     std::size_t waiting() const { return m_waiting.size(); }
     /// For the log (CustomerShares).
     double shareLevel(Base::TimePoint now) { return m_shares.shareLevel(now); }
@@ -152,7 +152,7 @@
     ServerCost m_cost;
     CustomerShares m_shares;
     Base::ZoneId m_ownZone;
-    const OthersLoad *m_others = nullptr;
+    const PeerLoad *m_others = nullptr;
     std::map<Base::ServerId, ServerState> m_servers;
     std::unordered_map<WorkId, Placed> m_placed;
     FairWaiting m_waiting;
--- a/src/libs/routing/retrypause.h
+++ b/src/libs/routing/exponentialbackoff.h
@@ -7,10 +7,10 @@
 namespace Routing {
 
 /// Pauses between tries that fail one after the other: each is twice as long as the one before.
-class RetryPause
+class ExponentialBackoff
 {
 public:
-    RetryPause(Base::Duration first, Base::Duration longest)
+    ExponentialBackoff(Base::Duration first, Base::Duration longest)
         : m_first(first)
         , m_longest(longest)
     {}
--- a/src/libs/routing/fairwaiting.cpp
+++ b/src/libs/routing/fairwaitqueue.cpp
@@ -1,4 +1,4 @@
-#include "routing/fairwaiting.h"
+#include "routing/fairwaitqueue.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/libs/routing/fleetload.h
+++ b/src/libs/routing/fleetload.h
@@ -50,7 +50,7 @@
 };
 
 /// The sum over all other hosts.
-struct OthersLoad
+struct PeerLoad
 {
     std::map<Base::ServerId, ServerLoad> servers;
     std::map<Base::CustomerId, double> asked;
--- a/src/libs/routing/fairlevel.cpp
+++ b/src/libs/routing/maxminlevel.cpp
@@ -1,4 +1,4 @@
-#include "routing/fairlevel.h"
+#include "routing/maxminlevel.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/libs/routing/promptcache.cpp
+++ b/src/libs/routing/promptcachemodel.cpp
@@ -1,4 +1,4 @@
-#include "routing/promptcache.h"
+#include "routing/promptcachemodel.h"
 
 #include "base/hash.h"
 
--- a/src/libs/routing/servercost.cpp
+++ b/src/libs/routing/servercost.cpp
@@ -82,9 +82,9 @@
 
 double ServerCost::fetchMilliseconds(std::uint32_t tokens, bool isOtherZone) const
 {
-    if (!m_traits.moveMsPerToken)
+    if (!m_traits.transferMsPerToken)
         return std::numeric_limits<double>::infinity();
-    const double moving = *m_traits.moveMsPerToken * tokens;
+    const double moving = *m_traits.transferMsPerToken * tokens;
     return fetchSetupMilliseconds + moving * (isOtherZone ? otherZoneFactor : 1);
 }
 
--- a/src/libs/routing/servercost.h
+++ b/src/libs/routing/servercost.h
@@ -21,7 +21,7 @@
     double sharedTokensPerSecond = 0;
     /// Time in which the running memory of one token goes from one server to another; empty if
     /// servers cannot fetch it.
-    std::optional<double> moveMsPerToken{};
+    std::optional<double> transferMsPerToken{};
 };
 
 /// How a server stands at the moment of a decision.
--- a/src/libs/routing/serverset.cpp
+++ b/src/libs/routing/serverset.cpp
@@ -174,7 +174,7 @@
     m_otherOutageAt = std::max(m_otherOutageAt, lostAt);
 }
 
-std::optional<Base::TimePoint> ServerSet::storeAwayAt() const
+std::optional<Base::TimePoint> ServerSet::storeUnreachableSince() const
 {
     return m_isStoreAway ? std::optional(m_storeAwayAt) : std::nullopt;
 }
--- a/src/libs/routing/serverset.h
+++ b/src/libs/routing/serverset.h
@@ -107,9 +107,9 @@
     bool isKnown() const { return m_isKnown; }
     /// Whether an entry that is missing counts as gone: the store neither is away, as seen from
     /// here, nor has just come back. Else another host's set is the better one.
-    bool isSettled(Base::TimePoint now) const { return !m_isStoreAway && !keepsMissing(now); }
+    bool isAuthoritative(Base::TimePoint now) const { return !m_isStoreAway && !keepsMissing(now); }
     /// Since when the store does not answer this host; empty while it does.
-    std::optional<Base::TimePoint> storeAwayAt() const;
+    std::optional<Base::TimePoint> storeUnreachableSince() const;
     /// The same for two sets with the same usable servers.
     std::uint64_t fingerprint() const;
     /// Null for one that is leaving, gone or never seen.
--- a/src/libs/routing/backlogwatch.cpp
+++ b/src/libs/routing/streamadmission.cpp
@@ -1,7 +1,7 @@
-#include "routing/backlogwatch.h"
+#include "routing/streamadmission.h"
 
-#include "routing/fairlevel.h"
 #include "routing/forwardingmeter.h"
+#include "routing/maxminlevel.h"
 
 #include <algorithm>
 
@@ -56,31 +56,31 @@
 
 } // namespace
 
-void BacklogWatch::noteIdle(Base::TimePoint now)
+void StreamAdmission::recordIdle(Base::TimePoint now)
 {
     m_idleAt = now;
-    m_cost.noteIdle(now);
+    m_cost.recordIdle(now);
 }
 
-void BacklogWatch::noteEvents(std::size_t count)
+void StreamAdmission::recordEvents(std::size_t count)
 {
     m_events += static_cast<double>(count);
     m_cost.addWork(microseconds(ForwardingMeter::eventMicroseconds * static_cast<double>(count)));
 }
 
-void BacklogWatch::noteRequest(Base::TimePoint now)
+void StreamAdmission::recordPlainRequest(Base::TimePoint now)
 {
     m_cost.addWork(microseconds(ForwardingMeter::requestMicroseconds));
     m_cost.advance(now);
 }
 
-void BacklogWatch::noteRefusal(Base::TimePoint now)
+void StreamAdmission::recordRefusal(Base::TimePoint now)
 {
     m_cost.addWork(microseconds(ForwardingMeter::refusalMicroseconds));
     m_cost.advance(now);
 }
 
-bool BacklogWatch::takesStream(const Work &work, Base::TimePoint now)
+bool StreamAdmission::admitStream(const Work &work, Base::TimePoint now)
 {
     const double density = static_cast<double>(work.promptTokens)
                            / static_cast<double>(std::max(work.outputTokens, 1U));
@@ -101,14 +101,14 @@
     if (isTaken) {
         charge(work);
         m_taken.add(work.customer, cost, now);
-        noteRequest(now);
+        recordPlainRequest(now);
     } else {
-        noteRefusal(now);
+        recordRefusal(now);
     }
     return isTaken;
 }
 
-void BacklogWatch::giveBack(const Work &work, Base::TimePoint now)
+void StreamAdmission::refundStream(const Work &work, Base::TimePoint now)
 {
     const Base::Duration cost = expectedCost(work);
     m_credit += cost;
@@ -117,7 +117,7 @@
         microseconds(ForwardingMeter::refusalMicroseconds - ForwardingMeter::requestMicroseconds));
 }
 
-void BacklogWatch::updateLevels(Base::TimePoint now)
+void StreamAdmission::updateLevels(Base::TimePoint now)
 {
     if (m_levelAt != Base::TimePoint::min() && now - m_levelAt < levelInterval)
         return;
@@ -131,7 +131,7 @@
     m_rationedLevel = fairLevel(asked, capacity * streamShare);
 }
 
-Base::Duration BacklogWatch::expectedCost(const Work &work) const
+Base::Duration StreamAdmission::expectedCost(const Work &work) const
 {
     const double eventsPerToken =
         (m_events + presumedTokens * presumedEventsPerToken) / (m_allowedTokens + presumedTokens);
@@ -141,14 +141,14 @@
         * m_cost.factor());
 }
 
-void BacklogWatch::refill(Base::TimePoint now)
+void StreamAdmission::refill(Base::TimePoint now)
 {
     const double share = streamShare * m_capacity / milliCoresOfCore;
     m_credit = std::min(m_credit + part(now - m_refilledAt, share), part(creditSpan, share));
     m_refilledAt = now;
 }
 
-void BacklogWatch::charge(const Work &work)
+void StreamAdmission::charge(const Work &work)
 {
     const double share = streamShare * m_capacity / milliCoresOfCore;
     m_credit = std::max(m_credit - expectedCost(work), -part(debtSpan, share));
--- a/src/libs/routing/backlogwatch.h
+++ b/src/libs/routing/streamadmission.h
@@ -2,8 +2,8 @@
 
 #include "base/time.h"
 #include "routing/costobserver.h"
+#include "routing/decayingsum.h"
 #include "routing/entryselection.h"
-#include "routing/fadingmeter.h"
 #include "routing/work.h"
 
 #include <cstddef>
@@ -30,31 +30,31 @@
 /// Taking none would not let it catch up: where the refusals alone fill the processor, the backlog
 /// never ends, and a customer whose callers all stay with this host would get nothing for as long
 /// as its load lasts. Plain requests cost no more than their refusal.
-class BacklogWatch
+class StreamAdmission
 {
 public:
     /// \a capacity is what this process may use of the host's processor.
-    explicit BacklogWatch(MilliCores capacity)
+    explicit StreamAdmission(MilliCores capacity)
         : m_capacity(capacity)
         , m_cost(capacity)
     {}
 
     /// Nothing was left to do at \a now.
-    void noteIdle(Base::TimePoint now);
+    void recordIdle(Base::TimePoint now);
     /// Events of streams were forwarded.
-    void noteEvents(std::size_t count);
+    void recordEvents(std::size_t count);
     /// Work that no stream is part of: a plain request, and one that was turned away otherwise.
-    void noteRequest(Base::TimePoint now);
-    void noteRefusal(Base::TimePoint now);
+    void recordPlainRequest(Base::TimePoint now);
+    void recordRefusal(Base::TimePoint now);
     /// How many times longer than reckoned this host's work takes.
     double costFactor() const { return m_cost.factor(); }
     /// Whether there has been no pause for a moment: not yet behind, but nothing to spare.
     bool isBusy(Base::TimePoint now) const { return now - m_idleAt >= busyAfter; }
     /// Whether a stream that has just come in is taken.
-    bool takesStream(const Work &work, Base::TimePoint now);
+    bool admitStream(const Work &work, Base::TimePoint now);
     /// A stream that was taken is not sent anywhere, for another reason: it takes no more than a
     /// refusal.
-    void giveBack(const Work &work, Base::TimePoint now);
+    void refundStream(const Work &work, Base::TimePoint now);
 
 private:
     /// A streamed event is to be passed on within 120 ms where callers are strictest; work that
--- a/src/libs/scheduling/concurrencylimiter.cpp
+++ b/src/libs/scheduling/concurrencylimiter.cpp
@@ -34,7 +34,8 @@
 
 Base::Result<ConcurrencyLimiter> ConcurrencyLimiter::create(const ConcurrencyLimits &limits)
 {
-    if (limits.smallest == 0 || limits.initial < limits.smallest || limits.largest < limits.initial)
+    if (limits.smallest == 0 || limits.initialLimit < limits.smallest
+        || limits.maxLimit < limits.initialLimit)
         return boost::leaf::new_error(InvalidPolicy{PolicyField::ConcurrencyRange});
     if (limits.reportLag <= Base::Duration::zero()
         || limits.firstProbeAfter <= Base::Duration::zero()
@@ -45,8 +46,8 @@
 
 ConcurrencyLimiter::ConcurrencyLimiter(const ConcurrencyLimits &limits)
     : m_limits(limits)
-    , m_limit(limits.initial)
-    , m_step(limits.initial)
+    , m_limit(limits.initialLimit)
+    , m_step(limits.initialLimit)
     , m_probeAfter(limits.firstProbeAfter)
 {}
 
@@ -102,7 +103,7 @@
     m_progressAt = now;
 }
 
-void ConcurrencyLimiter::setPeersFirstToken(std::optional<Base::Duration> firstToken)
+void ConcurrencyLimiter::setPeerTimeToFirstToken(std::optional<Base::Duration> firstToken)
 {
     m_peersFirstToken = firstToken;
 }
@@ -277,7 +278,7 @@
 
 void ConcurrencyLimiter::setLimit(std::size_t limit, Base::TimePoint now)
 {
-    const std::size_t bounded = std::clamp(limit, m_limits.smallest, m_limits.largest);
+    const std::size_t bounded = std::clamp(limit, m_limits.smallest, m_limits.maxLimit);
     m_wasGrowth = bounded >= m_limit;
     m_limit = bounded;
     m_changedAt = now;
--- a/src/libs/scheduling/concurrencylimiter.h
+++ b/src/libs/scheduling/concurrencylimiter.h
@@ -40,9 +40,9 @@
 struct ConcurrencyLimits
 {
     /// Permits of a server not known yet. Few engines run less; the limit doubles from here.
-    std::size_t initial = 8;
+    std::size_t initialLimit = 8;
     std::size_t smallest = 1;
-    std::size_t largest = 256;
+    std::size_t maxLimit = 256;
     /// Longest lag of a load report. A change of the limit that no report has shown is judged
     /// after this time at the latest.
     Base::Duration reportLag = std::chrono::milliseconds(2000);
@@ -107,10 +107,10 @@
     /// Part of an answer came.
     void recordProgress(Base::TimePoint now);
     /// Quickest first token in the last window; empty before the first window is full.
-    std::optional<Base::Duration> quickestFirstToken() const { return m_windowFirstToken; }
-    /// The median of quickestFirstToken() over the pool's servers; empty when there is only
+    std::optional<Base::Duration> minTimeToFirstToken() const { return m_windowFirstToken; }
+    /// The median of minTimeToFirstToken() over the pool's servers; empty when there is only
     /// one, and then no slowness is found: there is nowhere else to send the work.
-    void setPeersFirstToken(std::optional<Base::Duration> firstToken);
+    void setPeerTimeToFirstToken(std::optional<Base::Duration> firstToken);
     /// Moves time-driven state on: probes, frozen servers, growth without reports.
     void advance(std::size_t inUse, Base::TimePoint now);
 
--- a/src/libs/scheduling/fairqueue.cpp
+++ b/src/libs/scheduling/fairqueue.cpp
@@ -90,14 +90,14 @@
     return expired;
 }
 
-void FairQueue::positionLowered(const Base::CustomerId &customer)
+void FairQueue::invalidatePosition(const Base::CustomerId &customer)
 {
     const auto it = m_customers.find(customer);
     if (it != m_customers.end())
         setPosition(it->second, 0);
 }
 
-std::size_t FairQueue::waitingOf(const Base::CustomerId &customer) const
+std::size_t FairQueue::waitingCount(const Base::CustomerId &customer) const
 {
     const auto it = m_customers.find(customer);
     return it == m_customers.end() ? 0 : it->second.waiting;
--- a/src/libs/scheduling/fairqueue.h
+++ b/src/libs/scheduling/fairqueue.h
@@ -51,7 +51,7 @@
 /// A take costs O(classes * log customers), amortised. Positions change outside while work
 /// waits, so the one kept for a customer is a lower bound: it is read anew only when the
 /// customer comes first in an index, and moved if it grew. A position that fell (a hold given
-/// back, a debt forgiven) would break that; positionLowered() says so, and every take also
+/// back, a debt forgiven) would break that; invalidatePosition() says so, and every take also
 /// reads a few customers in rotation, so that an unannounced fall is seen within
 /// backloggedCount() / refreshesPerTake takes.
 class FairQueue
@@ -76,11 +76,11 @@
     /// Takes all work whose caller has given up by \a now.
     std::vector<WaitingWork> takeExpired(Base::TimePoint now);
     /// To be called when the position of \a customer may have become smaller.
-    void positionLowered(const Base::CustomerId &customer);
+    void invalidatePosition(const Base::CustomerId &customer);
 
     std::size_t size() const { return m_items.size(); }
     bool isEmpty() const { return m_items.empty(); }
-    std::size_t waitingOf(const Base::CustomerId &customer) const;
+    std::size_t waitingCount(const Base::CustomerId &customer) const;
     std::size_t backloggedCount() const { return m_customers.size(); }
     std::vector<Base::CustomerId> backloggedCustomers() const;
     /// The backlogged customer with the least position: the floor that a customer which
--- a/src/libs/scheduling/handoverplanner.cpp
+++ b/src/libs/scheduling/handoverplanner.cpp
@@ -106,7 +106,7 @@
     return given;
 }
 
-std::vector<Handover> HandoverPlanner::planForAskers(std::size_t waiting, Base::TimePoint now)
+std::vector<Handover> HandoverPlanner::planForPendingAsks(std::size_t waiting, Base::TimePoint now)
 {
     std::erase_if(m_askers, [this, now](const auto &asker) {
         return now - asker.second.at >= m_policy.askLifetime;
--- a/src/libs/scheduling/handoverplanner.h
+++ b/src/libs/scheduling/handoverplanner.h
@@ -51,7 +51,7 @@
 /// times: with answers of half a second, homes that asked only where the summary showed work
 /// left nine tenths of such idle time unused. It is the idle home that knows of its free
 /// permits, so nothing handed rests on a stale number. A home that was asked and had nothing
-/// remembers it: answer() and planForAskers() hand over as soon as work waits there.
+/// remembers it: answer() and planForPendingAsks() hand over as soon as work waits there.
 ///
 /// A home that becomes crowded need not wait for that: plan() says what it hands to homes whose
 /// last summary showed free permits. All homes see the same summaries, so each computes the
@@ -80,7 +80,7 @@
     std::size_t answer(std::uint32_t asker, std::size_t asked, std::size_t waiting,
                        Base::TimePoint now);
     /// What to hand to earlier askers now that \a waiting work waits and no permit is free.
-    std::vector<Handover> planForAskers(std::size_t waiting, Base::TimePoint now);
+    std::vector<Handover> planForPendingAsks(std::size_t waiting, Base::TimePoint now);
 
 private:
     struct Handed
--- a/src/libs/scheduling/retrypolicy.cpp
+++ b/src/libs/scheduling/retrypolicy.cpp
@@ -47,7 +47,7 @@
 /// sent again, but its stream may be taken up where it broke off: that runs nothing anew.
 RetryStep RetryPolicy::permittedStep(const FailedAttempt &failed)
 {
-    const bool mayHaveRun = failed.ran == AttemptRan::MaybeRan;
+    const bool mayHaveRun = failed.ran == AttemptExecution::MaybeRan;
     if (mayHaveRun && failed.isStreamResumable)
         return RetryStep::ResumeStream;
     if (failed.isAnswerStarted)
--- a/src/libs/scheduling/retrypolicy.h
+++ b/src/libs/scheduling/retrypolicy.h
@@ -13,7 +13,7 @@
 class RetryBudget;
 
 /// What is known of attempts that failed.
-enum class AttemptRan {
+enum class AttemptExecution {
     NeverSent, ///< Not one byte left: it certainly did not run.
     Refused,   ///< The server said that it did not run it.
     MaybeRan,  ///< It was sent, wholly or in part.
@@ -24,7 +24,7 @@
 {
     /// Of all attempts so far together: MaybeRan once any of them may have run, also if the
     /// last one, or a try to resume it, was never sent.
-    AttemptRan ran = AttemptRan::MaybeRan;
+    AttemptExecution ran = AttemptExecution::MaybeRan;
     /// Whether the caller marked the work as repeatable.
     bool isRepeatable = true;
     /// Whether the caller has been given a part of the answer.
--- a/src/libs/scheduling/serverselector.cpp
+++ b/src/libs/scheduling/serverselector.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-double load(const ServerChoice &choice)
+double load(const ServerCandidate &choice)
 {
     return static_cast<double>(choice.inUse) / static_cast<double>(choice.limit);
 }
 
-double onePermit(const ServerChoice &choice)
+double onePermit(const ServerCandidate &choice)
 {
     return 1.0 / static_cast<double>(choice.limit);
 }
@@ -23,11 +23,11 @@
     : m_policy(policy)
 {}
 
-std::optional<std::size_t> ServerSelector::choose(const std::vector<ServerChoice> &choices,
+std::optional<std::size_t> ServerSelector::choose(const std::vector<ServerCandidate> &choices,
                                                   std::uint64_t prefix, Base::TimePoint now) const
 {
     double least = std::numeric_limits<double>::infinity();
-    for (const ServerChoice &choice : choices)
+    for (const ServerCandidate &choice : choices)
         least = std::min(least, load(choice));
     std::optional<std::size_t> best;
     std::optional<std::size_t> bestHolder;
@@ -39,7 +39,7 @@
         return load(choices[i]) < load(choices[*other]);
     };
     for (std::size_t i = 0; i < choices.size(); ++i) {
-        const ServerChoice &choice = choices[i];
+        const ServerCandidate &choice = choices[i];
         if (load(choice) < least + onePermit(choice) && isBetter(i, best))
             best = i;
         const bool isNear = load(choice) <= least + m_policy.loadMargin;
--- a/src/libs/scheduling/serverselector.h
+++ b/src/libs/scheduling/serverselector.h
@@ -14,7 +14,7 @@
 namespace Scheduling {
 
 /// A backend server that has at least one free permit.
-struct ServerChoice
+struct ServerCandidate
 {
     Base::ServerId server;
     std::size_t inUse = 0;
@@ -61,7 +61,7 @@
 
     /// Index into \a choices; empty when there is none. \a prefix is 0 for work without one.
     /// Among servers within one permit of the least used, the same zone wins.
-    std::optional<std::size_t> choose(const std::vector<ServerChoice> &choices,
+    std::optional<std::size_t> choose(const std::vector<ServerCandidate> &choices,
                                       std::uint64_t prefix, Base::TimePoint now) const;
     /// Notes that work with \a prefix was sent to \a server.
     void recordPrefix(std::uint64_t prefix, const Base::ServerId &server, Base::TimePoint now);
--- a/src/libs/wire/messagedecoder.cpp
+++ b/src/libs/wire/messagedecoder.cpp
@@ -320,7 +320,7 @@
     to.floor = from.floor();
     to.isFull = from.full();
     to.isSnapshot = from.snapshot();
-    to.isAsking = from.asking();
+    to.isSnapshotRequest = from.asking();
     for (const Proto::LedgerEntry &entry : from.entries())
         to.entries.push_back(ledgerEntry(entry));
     for (const Proto::FoldedStart &folded : from.folded()) {
--- a/src/libs/wire/messageencoder.cpp
+++ b/src/libs/wire/messageencoder.cpp
@@ -171,7 +171,7 @@
     to.set_floor(from.floor);
     to.set_full(from.isFull);
     to.set_snapshot(from.isSnapshot);
-    to.set_asking(from.isAsking);
+    to.set_asking(from.isSnapshotRequest);
     for (const Coordination::LedgerEntry &entry : from.entries)
         encodeEntry(*to.add_entries(), entry);
     for (const Coordination::FoldedStart &folded : from.folded) {
--- a/tests/auto/coordination/tst_configurationreplica.cpp
+++ b/tests/auto/coordination/tst_configurationreplica.cpp
@@ -200,11 +200,11 @@
         const auto from = *rc::gen::inRange<std::size_t>(0, operators.routers.size());
         const ConfigurationVersion behind = *rc::gen::inRange<ConfigurationVersion>(0, 3);
         const ConfigurationVersion own = router.replica.configuration().version();
-        router.replica.learn(operators.routers[from]->replica.changesAfter(
+        router.replica.applyChanges(operators.routers[from]->replica.changesAfter(
             own - std::min(own, behind), *rc::gen::inRange<std::size_t>(0, 5)));
         operators.hasSnapshot = operators.hasSnapshot || what == 7;
         if (what == 7)
-            router.replica.learnSnapshot(operators.routers[from]->replica.configuration());
+            router.replica.applySnapshot(operators.routers[from]->replica.configuration());
     } else if (router.table.waiting() > 0) {
         const auto call = *rc::gen::inRange<std::size_t>(0, router.table.waiting());
         const auto fate =
@@ -341,7 +341,7 @@
     Operators operators(1);
     Settings::Configuration snapshot;
     snapshot.setVersion(7);
-    operators.routers[0]->replica.learnSnapshot(snapshot);
+    operators.routers[0]->replica.applySnapshot(snapshot);
     operators.ask(0, 0, 1);
     operators.collect();
     REQUIRE(operators.told[1].size() == 1);
@@ -377,17 +377,17 @@
     }
     const Settings::Configuration newest = operators.routers[0]->replica.configuration();
     REQUIRE(newest.version() == 5);
-    operators.routers[1]->replica.learn(operators.routers[0]->replica.changesAfter(0, 2));
+    operators.routers[1]->replica.applyChanges(operators.routers[0]->replica.changesAfter(0, 2));
     Router &cold = *operators.routers[2];
     cold.settle(operators.now, Fakes::Fate::LostBefore);
     CHECK_FALSE(cold.replica.isReady());
-    cold.replica.notePeer(Base::HostId("r0"), 5, operators.now);
-    cold.replica.notePeer(Base::HostId("r1"), 2, operators.now);
+    cold.replica.recordPeerVersion(Base::HostId("r0"), 5, operators.now);
+    cold.replica.recordPeerVersion(Base::HostId("r1"), 2, operators.now);
     CHECK_FALSE(cold.replica.duePull(operators.now));
-    cold.replica.learn(operators.routers[1]->replica.changesAfter(0, 9));
+    cold.replica.applyChanges(operators.routers[1]->replica.changesAfter(0, 9));
     CHECK_FALSE(cold.replica.isReady());
     REQUIRE(cold.replica.duePull(operators.now) == Base::HostId("r0"));
-    cold.replica.learnSnapshot(newest);
+    cold.replica.applySnapshot(newest);
     CHECK(cold.replica.isReady());
     CHECK(cold.replica.configuration() == newest);
     // The table stays down: what is in force stays, and a write is told so at once.
--- a/tests/auto/coordination/tst_membership.cpp
+++ b/tests/auto/coordination/tst_membership.cpp
@@ -41,7 +41,7 @@
 
     void start(const Base::HostId &host, Base::Incarnation incarnation)
     {
-        const MembershipSelf self{host, incarnation, Base::ZoneId("z"), host.value() + ":1",
+        const RouterIdentity self{host, incarnation, Base::ZoneId("z"), host.value() + ":1",
                                   host.value() + ":2"};
         routers[host] = std::make_unique<Membership>(*Membership::create({}, self));
     }
--- a/tests/auto/coordination/tst_orderbook.cpp
+++ b/tests/auto/coordination/tst_orderreconciler.cpp
@@ -1,5 +1,5 @@
 #include "base/random.h"
-#include "coordination/orderbook.h"
+#include "coordination/orderreconciler.h"
 #include "support/manualtable.h"
 
 #include <catch2/catch.hpp>
--- a/tests/auto/coordination/tst_serviceledger.cpp
+++ b/tests/auto/coordination/tst_serviceledger.cpp
@@ -291,7 +291,7 @@
     fleet.restart(2);
     const auto asked = fleet.ledgers[2]->takeDelta();
     REQUIRE(asked);
-    CHECK(asked->isAsking);
+    CHECK(asked->isSnapshotRequest);
     fleet.ledgers[2]->merge(fleet.ledgers[0]->snapshot());
     CHECK_FALSE(fleet.ledgers[2]->isCold());
     CHECK(fleet.ledgers[2]->position(customer(0)) == 700);
--- a/tests/auto/gateway/plainstore.h
+++ b/tests/auto/gateway/fakestore.h
@@ -15,7 +15,7 @@
 /// A protocol whose answers are a version of the store, and nothing else: the rows of hosts are
 /// those that it is given and those that were written, the entries of servers those that it is
 /// given.
-class PlainProtocol final : public StoreProtocol
+class FakeStoreProtocol final : public StoreProtocol
 {
 public:
     HttpCall readConfiguration() const override { return {"GET", "/configuration", {}}; }
@@ -76,15 +76,15 @@
 
 /// A store on loopback: answers each path with its version, or with 503 or not at all where it is
 /// told to.
-class PlainStore final : public RequestHandler
+class FakeStore final : public RequestHandler
 {
 public:
     std::shared_ptr<ActiveRequest> handle(CallerRequest request, AnswerSink &sink) override
     {
         const std::string path(request.message.target());
         ++calls[path];
-        if (std::exchange(breaksOnce[path], false)) {
-            sink.breakOff();
+        if (std::exchange(dropsNextCall[path], false)) {
+            sink.abortAnswer();
             return nullptr;
         }
         ResponseHead head;
@@ -101,7 +101,7 @@
     std::map<std::string, int> calls;
     std::map<std::string, bool> refused;
     /// The connection of the next call ends without an answer.
-    std::map<std::string, bool> breaksOnce;
+    std::map<std::string, bool> dropsNextCall;
 };
 
 } // namespace Gateway
--- a/tests/auto/gateway/tst_entryboard.cpp
+++ b/tests/auto/gateway/tst_entryhostselector.cpp
@@ -1,4 +1,4 @@
-#include "gateway/entryboard.h"
+#include "gateway/entryhostselector.h"
 
 #include <catch2/catch.hpp>
 
--- a/tests/auto/gateway/tst_eventlog.cpp
+++ b/tests/auto/gateway/tst_eventlog.cpp
@@ -43,7 +43,7 @@
 
 void writeRequest(EventLog &log, const char *event, bool isFailure, Base::TimePoint now)
 {
-    if (log.takesRequest(isFailure, now))
+    if (log.tryAcquireRequestLine(isFailure, now))
         log.write(LogLine(event), now);
 }
 
--- a/tests/auto/gateway/tst_exchange.cpp
+++ b/tests/auto/gateway/tst_exchange.cpp
@@ -29,7 +29,7 @@
     void startStream(const ResponseHead &) override {}
     void sendEvents(std::string_view) override {}
     void endStream() override {}
-    void breakOff() override {}
+    void abortAnswer() override {}
     void closeAfterAnswer() override {}
     bool isCallerGone() const override { return isGone; }
     bool isBlocked() const override { return false; }
--- a/tests/auto/gateway/tst_fleetview.cpp
+++ b/tests/auto/gateway/tst_fleetview.cpp
@@ -242,7 +242,7 @@
         for (std::size_t i = 0; i < hosts.size(); ++i) {
             if (hosts.isDown(i) || i == starting)
                 continue;
-            const Routing::OthersLoad &others = hosts.view(i).others();
+            const Routing::PeerLoad &others = hosts.view(i).others();
             const auto asked = others.asked.find(Base::CustomerId("c"));
             const double sum =
                 Hosts::askedOfHost + (asked == others.asked.end() ? 0 : asked->second);
--- a/tests/auto/gateway/tst_storeclient.cpp
+++ b/tests/auto/gateway/tst_storeclient.cpp
@@ -1,8 +1,8 @@
+#include "fakestore.h"
 #include "gateway/boottime.h"
 #include "gateway/eventlog.h"
 #include "gateway/httplistener.h"
 #include "gateway/storeclient.h"
-#include "plainstore.h"
 
 #include <catch2/catch.hpp>
 
@@ -36,10 +36,10 @@
         ++serverReadings;
     }
     void storeFailed() override { isStoreAway = true; }
-    void unreadableChanged(const std::set<std::string> &) override {}
-    void storeAnswered(const char *, bool) override {}
+    void unreadableEntriesChanged(const std::set<std::string> &) override {}
+    void storeCallFinished(const char *, bool) override {}
     void hostsRead(const std::vector<HostRow> &) override {}
-    std::vector<HostRow> rowsToKeep() const override { return rows; }
+    std::vector<HostRow> rowsToRefresh() const override { return rows; }
 
     std::vector<HostRow> rows;
     int configurations = 0;
@@ -94,11 +94,11 @@
     boost::asio::io_context m_io;
 
 public:
-    PlainStore store;
+    FakeStore store;
     Listener listener;
 
 private:
-    PlainProtocol m_protocol;
+    FakeStoreProtocol m_protocol;
     ConnectionLimits m_limits;
     std::string m_buffer = std::string(65536, '\0');
     int m_null;
@@ -119,7 +119,7 @@
     // server runs. Cause: only a failed reading of the servers told that the store had been away,
     // so the missing entries counted as servers that are gone.
     Loopback fleet;
-    fleet.client->setDuty(StoreClient::Duty::ForZone);
+    fleet.client->setReaderRole(StoreClient::ReaderRole::ForZone);
     REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 1; }));
     CHECK_FALSE(fleet.listener.wasAwayBefore);
     fleet.store.refused["/watch"] = true;
@@ -137,12 +137,12 @@
     // A host loses the store while it reads for itself, and another one stands in for it. It must
     // not count its servers as doubtful for ever: it could never lead its zone again.
     Loopback fleet;
-    fleet.client->setDuty(StoreClient::Duty::Self);
+    fleet.client->setReaderRole(StoreClient::ReaderRole::Self);
     REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 1; }));
     fleet.store.refused["/watch"] = true;
     REQUIRE(fleet.runUntil([&] { return fleet.listener.isStoreAway; }));
     fleet.store.refused.clear();
-    fleet.client->setDuty(StoreClient::Duty::None);
+    fleet.client->setReaderRole(StoreClient::ReaderRole::None);
     CHECK(fleet.runUntil([&] { return !fleet.listener.isStoreAway; }));
 }
 
@@ -153,7 +153,7 @@
     // its row, side by side. One of them tells as well when the store takes calls again.
     Loopback fleet;
     fleet.listener.rows = {HostRow{}};
-    fleet.client->setDuty(StoreClient::Duty::Self);
+    fleet.client->setReaderRole(StoreClient::ReaderRole::Self);
     REQUIRE(fleet.runUntil([&] { return fleet.store.calls["/row"] == 1; }));
     for (const char *path : {"/watch", "/configuration", "/servers", "/hosts", "/row"})
         fleet.store.refused[path] = true;
@@ -175,7 +175,7 @@
 TEST_CASE("an answer from an older state of the store proves nothing", "[gateway]")
 {
     Loopback fleet;
-    fleet.client->setDuty(StoreClient::Duty::ForZone);
+    fleet.client->setReaderRole(StoreClient::ReaderRole::ForZone);
     REQUIRE(fleet.runUntil(
         [&] { return fleet.listener.confirmations > 0 && fleet.listener.serverReadings > 0; }));
     fleet.store.version = 6;
@@ -206,11 +206,11 @@
     // watch counted as an outage, after which missing entries are kept for two seconds; and the
     // next watch was held for half a second before it told that the store was there.
     Loopback fleet;
-    fleet.client->setDuty(StoreClient::Duty::ForZone);
+    fleet.client->setReaderRole(StoreClient::ReaderRole::ForZone);
     REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 1; }));
     for (const char *path : {"/watch", "/servers"}) {
         const int calls = fleet.store.calls[path];
-        fleet.store.breaksOnce[path] = true;
+        fleet.store.dropsNextCall[path] = true;
         REQUIRE(fleet.runUntil([&] { return fleet.store.calls[path] > calls; }));
         const int readings = fleet.listener.serverReadings;
         REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings > readings; }));
@@ -225,12 +225,12 @@
     // from then on; when both are back it drops all servers, whose entries lapsed meanwhile, and
     // callers get 503. Cause: its second failed call did not count as an outage any more.
     Loopback fleet;
-    fleet.client->setDuty(StoreClient::Duty::ForZone);
+    fleet.client->setReaderRole(StoreClient::ReaderRole::ForZone);
     REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 1; }));
-    fleet.store.breaksOnce["/watch"] = true;
+    fleet.store.dropsNextCall["/watch"] = true;
     fleet.store.refused["/configuration"] = true;
     REQUIRE(fleet.runUntil([&] { return fleet.client->isLost(); }));
-    fleet.client->setDuty(StoreClient::Duty::None);
+    fleet.client->setReaderRole(StoreClient::ReaderRole::None);
     CHECK(fleet.runUntil([&] { return fleet.listener.isStoreAway; }, seconds(1)));
     fleet.store.refused.clear();
     REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 2; }));
--- a/tests/auto/gateway/tst_knowledgecopy.cpp
+++ b/tests/auto/gateway/tst_storecopy.cpp
@@ -1,4 +1,4 @@
-#include "gateway/knowledgecopy.h"
+#include "gateway/storecopy.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
--- a/tests/auto/gateway/tst_storetimes.cpp
+++ b/tests/auto/gateway/tst_storeintervals.cpp
@@ -1,4 +1,4 @@
-#include "gateway/storetimes.h"
+#include "gateway/storeintervals.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -13,8 +13,8 @@
     // Six zones of a few hosts each pay a seventh of what they earn for calls of the store, 1,066
     // of 1,454 in 48 seconds by their readers. Cause: the times were made for the shortest bounds
     // of any deployment.
-    const StoreTimes times =
-        StoreTimes::within({milliseconds(4000), milliseconds(4000), milliseconds(5000)});
+    const StoreIntervals times =
+        StoreIntervals::within({milliseconds(4000), milliseconds(4000), milliseconds(5000)});
     CHECK(times.watchWait == milliseconds(1000));
     CHECK(times.serverInterval == milliseconds(1200));
 }
@@ -25,7 +25,7 @@
         const ChangeBounds bounds{milliseconds(*rc::gen::inRange(1500, 30000)),
                                   milliseconds(*rc::gen::inRange(1500, 30000)),
                                   milliseconds(*rc::gen::inRange(2700, 30000))};
-        const StoreTimes times = StoreTimes::within(bounds);
+        const StoreIntervals times = StoreIntervals::within(bounds);
         // While all is well nobody but the readers asks.
         const auto longest = std::max(times.watchWait, times.serverInterval);
         RC_ASSERT(longest + 2 * reportInterval < times.readAfter);
--- a/tests/auto/gateway/tst_storereplica.cpp
+++ b/tests/auto/gateway/tst_storereplica.cpp
@@ -1,9 +1,9 @@
 #include "gateway/storereplica.h"
 
+#include "fakestore.h"
 #include "gateway/boottime.h"
 #include "gateway/eventlog.h"
-#include "gateway/storetimes.h"
-#include "plainstore.h"
+#include "gateway/storeintervals.h"
 
 #include <catch2/catch.hpp>
 
@@ -30,8 +30,8 @@
     void configurationTaken() override {}
     void serversChanged(const Routing::ServerChanges &, bool) override {}
     void serversRead() override {}
-    void unreadableChanged(const std::set<std::string> &) override {}
-    void storeAnswered(const char *, bool) override {}
+    void unreadableEntriesChanged(const std::set<std::string> &) override {}
+    void storeCallFinished(const char *, bool) override {}
 };
 
 Settings::Address freeAddress(boost::asio::io_context &io)
@@ -202,8 +202,8 @@
     Base::TimePoint m_nextReport{};
 
 public:
-    PlainProtocol protocol;
-    PlainStore store;
+    FakeStoreProtocol protocol;
+    FakeStore store;
     std::vector<std::unique_ptr<Host>> hosts;
 };
 
@@ -243,8 +243,8 @@
     zone.store.refused["/configuration"] = true;
     zone.store.version = 8;
     // Sooner than a host reads for itself that has had no proof.
-    CHECK(
-        zone.runUntil([&] { return zone.haveAll(8); }, StoreTimes().readAfter - milliseconds(400)));
+    CHECK(zone.runUntil([&] { return zone.haveAll(8); },
+                        StoreIntervals().readAfter - milliseconds(400)));
 }
 
 TEST_CASE("hosts that start beside others take everything from them", "[gateway]")
--- a/tests/auto/gateway/tst_texts.cpp
+++ b/tests/auto/gateway/tst_texts.cpp
@@ -54,7 +54,7 @@
 
 TEST_CASE("the body of a refusal is the product's, whatever the caller's id", "[gateway]")
 {
-    const Failure refusal{FailureType::HostBehind, false, Base::Milliseconds(400)};
+    const Failure refusal{FailureType::HostOverloaded, false, Base::Milliseconds(400)};
     CHECK(failureBody(refusal, "a1")
           == R"({"error":{"type":"host_overloaded","message":"host_overloaded","ran":"no",)"
              R"("retryAfterMs":400},"requestId":"a1"})");
@@ -115,7 +115,7 @@
             at += n;
         }
         RC_ASSERT(got == expected);
-        RC_ASSERT(splitter.hasRest() == !half.empty());
+        RC_ASSERT(splitter.hasPartialEvent() == !half.empty());
         RC_ASSERT(splitter.lastId() == static_cast<std::uint64_t>(std::max(events, have)));
     });
 }
@@ -127,8 +127,8 @@
     // crashed in the middle of it, the second from the server that went on with the stream.
     EventSplitter splitter;
     CHECK(splitter.push("id: 1\ndata: a\n\nid: 2\ndata: bright r").count == 1);
-    splitter.restart();
-    const WholeEvents next = splitter.push("id: 2\ndata: bright red\n\n");
+    splitter.discardPartialEvent();
+    const CompleteEvents next = splitter.push("id: 2\ndata: bright red\n\n");
     CHECK(next.text == "id: 2\ndata: bright red\n\n");
 }
 
--- a/tests/auto/node/tst_fairness.cpp
+++ b/tests/auto/node/tst_fairness.cpp
@@ -41,7 +41,7 @@
     shape.targets = {{Base::ClassId("tags"), 500ms, std::nullopt}};
     for (const char *name : {"dealer", "seller", "flood", "newcomer"})
         shape.customers.emplace_back(name);
-    shape.node.concurrency.initial = slots;
+    shape.node.concurrency.initialLimit = slots;
     return shape;
 }
 
--- a/tests/auto/routing/fairnessjudge.cpp
+++ b/tests/auto/routing/fairnesschecker.cpp
@@ -1,4 +1,4 @@
-#include "fairnessjudge.h"
+#include "fairnesschecker.h"
 
 #include <algorithm>
 #include <sstream>
--- a/tests/auto/routing/fleetmodel.cpp
+++ b/tests/auto/routing/fleetmodel.cpp
@@ -29,7 +29,7 @@
     return 1 + load.promptTokens + 0.5 * load.outputTokens;
 }
 
-void add(Routing::OthersLoad &sum, const Routing::HostLoad &load)
+void add(Routing::PeerLoad &sum, const Routing::HostLoad &load)
 {
     for (const auto &[server, it] : load.servers) {
         sum.servers[server].running += it.running;
@@ -73,10 +73,10 @@
         host.dispatcher = std::make_unique<Routing::Dispatcher>(traits, Base::ZoneId("z"));
         host.dispatcher->setServers(servers);
         host.others.hosts = scenario.hosts;
-        host.dispatcher->setOthers(host.others);
-        host.backlog = std::make_unique<Routing::BacklogWatch>(
+        host.dispatcher->setPeerLoad(host.others);
+        host.backlog = std::make_unique<Routing::StreamAdmission>(
             static_cast<Routing::MilliCores>(scenario.processorShare * 1000));
-        host.backlog->noteIdle(m_now);
+        host.backlog->recordIdle(m_now);
     }
 }
 
@@ -165,7 +165,7 @@
         it.budgetMs -= perform(host, task) * m_scenario.slowness;
     }
     if (it.tasks.empty())
-        it.backlog->noteIdle(m_now);
+        it.backlog->recordIdle(m_now);
 }
 
 double FleetModel::perform(std::size_t host, const Task &task)
@@ -176,10 +176,10 @@
         return receive(host, task.id);
     case Task::Kind::FirstEvent:
         it.dispatcher->started(task.id, m_now);
-        it.backlog->noteEvents(1);
+        it.backlog->recordEvents(1);
         return eventCost;
     case Task::Kind::Event:
-        it.backlog->noteEvents(1);
+        it.backlog->recordEvents(1);
         return eventCost;
     case Task::Kind::End:
         apply(host, it.dispatcher->finished(task.id, Routing::AttemptOutcome::Served, m_now));
@@ -199,8 +199,8 @@
         return 0;
     }
     Routing::Work work = workOf(id, load);
-    if (!it.backlog->takesStream(work, m_now)) {
-        it.dispatcher->turnedAwayBefore(work, m_now);
+    if (!it.backlog->admitStream(work, m_now)) {
+        it.dispatcher->recordTurnedAway(work, m_now);
         refused(id, milliseconds(400));
         return refusalCost;
     }
@@ -226,7 +226,7 @@
 {
     for (const Routing::TurnedAway &it : decisions.turnedAway) {
         const CustomerLoad &load = m_scenario.customers[m_requests.at(it.work).customer];
-        m_hosts[host].backlog->giveBack(workOf(it.work, load), m_now);
+        m_hosts[host].backlog->refundStream(workOf(it.work, load), m_now);
         refused(it.work, it.retryAfter);
     }
     for (const Routing::Placement &it : decisions.placements) {
@@ -271,7 +271,7 @@
     for (Host &host : m_hosts) {
         if (uniform() < m_scenario.reportLoss)
             continue;
-        Routing::OthersLoad others;
+        Routing::PeerLoad others;
         others.hosts = m_hosts.size();
         for (const Host &from : m_hosts) {
             if (&from != &host)
@@ -287,7 +287,7 @@
         while (!host.coming.empty() && host.coming.front().first <= m_now) {
             host.others = std::move(host.coming.front().second);
             host.coming.pop_front();
-            host.dispatcher->othersChanged();
+            host.dispatcher->peerLoadChanged();
         }
     }
 }
--- a/tests/auto/routing/fleetmodel.h
+++ b/tests/auto/routing/fleetmodel.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "fairnessjudge.h"
-#include "routing/backlogwatch.h"
+#include "fairnesschecker.h"
 #include "routing/dispatcher.h"
+#include "routing/streamadmission.h"
 
 #include <deque>
 #include <map>
@@ -77,13 +77,13 @@
     struct Host
     {
         std::unique_ptr<Routing::Dispatcher> dispatcher;
-        std::unique_ptr<Routing::BacklogWatch> backlog;
-        Routing::OthersLoad others;
+        std::unique_ptr<Routing::StreamAdmission> backlog;
+        Routing::PeerLoad others;
         std::deque<Task> tasks;
         double budgetMs = 0;
         Routing::HostLoad reported;
         /// The sums that are on their way, with when they arrive.
-        std::deque<std::pair<Base::TimePoint, Routing::OthersLoad>> coming;
+        std::deque<std::pair<Base::TimePoint, Routing::PeerLoad>> coming;
     };
 
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
--- a/tests/auto/routing/tst_costobserver.cpp
+++ b/tests/auto/routing/tst_costobserver.cpp
@@ -1,6 +1,6 @@
-#include "routing/backlogwatch.h"
 #include "routing/costobserver.h"
 #include "routing/forwardingmeter.h"
+#include "routing/streamadmission.h"
 
 #include <catch2/catch.hpp>
 
@@ -38,9 +38,9 @@
 /// them takes more than the other half.
 double promisedPart(double slowness)
 {
-    BacklogWatch watch(capacity);
+    StreamAdmission watch(capacity);
     Base::TimePoint now = start;
-    watch.noteIdle(now);
+    watch.recordIdle(now);
     double budget = 0;
     double promised = 0;
     double due = 0;
@@ -56,12 +56,12 @@
             // In turn: events of taken streams, and what comes in.
             if (events > 0 && (events > 20 || waiting == 0)) {
                 --events;
-                watch.noteEvents(1);
+                watch.recordEvents(1);
                 budget -= 0.04 * slowness;
                 continue;
             }
             --waiting;
-            const bool isTaken = watch.takesStream(stream(), now);
+            const bool isTaken = watch.admitStream(stream(), now);
             budget -= (isTaken ? 0.125 : 0.08) * slowness;
             if (!isTaken)
                 continue;
@@ -71,7 +71,7 @@
         }
         if (waiting + events == 0) {
             budget = 0;
-            watch.noteIdle(now);
+            watch.recordIdle(now);
         }
     }
     return promised / (4000 * millisecondsOfProcessor);
@@ -84,11 +84,11 @@
     // Guards against costs that hold on one machine only: another one takes three times as long.
     CostObserver observer(capacity);
     CHECK(observer.factor() == 1);
-    observer.noteIdle(start);
+    observer.recordIdle(start);
     keepBusy(observer, start, seconds(4), microseconds(27));
     CHECK(observer.factor() > 2.6);
     CHECK(observer.factor() < 3.1);
-    observer.noteIdle(start + seconds(4));
+    observer.recordIdle(start + seconds(4));
     keepBusy(observer, start + seconds(4), seconds(20), microseconds(80));
     CHECK(observer.factor() < 1.2);
 }
@@ -100,7 +100,7 @@
     for (Base::TimePoint now = start; now < start + seconds(10); now += milliseconds(25)) {
         observer.addWork(microseconds(100));
         observer.advance(now);
-        observer.noteIdle(now);
+        observer.recordIdle(now);
     }
     CHECK(observer.factor() == 1);
 }
@@ -109,7 +109,7 @@
 {
     // Guards against a host that turns its callers away after it was frozen for ten seconds.
     CostObserver observer(capacity);
-    observer.noteIdle(start);
+    observer.recordIdle(start);
     keepBusy(observer, start, seconds(1), microseconds(80));
     keepBusy(observer, start + seconds(11), seconds(1), microseconds(80));
     CHECK(observer.factor() < 1.2);
@@ -120,11 +120,11 @@
     // Guards against a host that never again takes a stream, or so many that callers wait for its
     // refusals, and for connections.
     CostObserver slow(capacity);
-    slow.noteIdle(start);
+    slow.recordIdle(start);
     keepBusy(slow, start, seconds(60), microseconds(0));
     CHECK(slow.factor() == 8);
     CostObserver fast(capacity);
-    fast.noteIdle(start);
+    fast.recordIdle(start);
     keepBusy(fast, start, seconds(60), milliseconds(10));
     CHECK(fast.factor() == 1);
 }
--- a/tests/auto/routing/tst_retrypause.cpp
+++ b/tests/auto/routing/tst_exponentialbackoff.cpp
@@ -1,4 +1,4 @@
-#include "routing/retrypause.h"
+#include "routing/exponentialbackoff.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,7 +11,7 @@
     // The store is down for five seconds and refuses at once. Sixty hosts call it four times a
     // second each, with each of two connections. Cause: the pause after a failure was always the
     // same.
-    RetryPause pause(milliseconds(250), milliseconds(1000));
+    ExponentialBackoff pause(milliseconds(250), milliseconds(1000));
     CHECK(pause.next() == milliseconds(250));
     CHECK(pause.next() == milliseconds(500));
     CHECK(pause.next() == milliseconds(1000));
--- a/tests/auto/routing/tst_fairness.cpp
+++ b/tests/auto/routing/tst_fairness.cpp
@@ -1,6 +1,6 @@
 #include "routing/dispatcher.h"
-#include "routing/fairlevel.h"
-#include "routing/fairwaiting.h"
+#include "routing/fairwaitqueue.h"
+#include "routing/maxminlevel.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -50,7 +50,7 @@
             m_hosts.push_back(std::make_unique<Dispatcher>(traits, Base::ZoneId("z")));
             m_hosts.back()->setTraits(traits);
             m_hosts.back()->setServers(m_servers);
-            m_hosts.back()->setOthers(m_others[i]);
+            m_hosts.back()->setPeerLoad(m_others[i]);
         }
     }
 
@@ -130,7 +130,7 @@
         for (std::size_t i = 0; i < m_hosts.size(); ++i)
             m_hosts[i]->report(loads[i], now);
         for (std::size_t i = 0; i < m_hosts.size(); ++i) {
-            OthersLoad sum;
+            PeerLoad sum;
             sum.hosts = m_hosts.size();
             for (std::size_t j = 0; j < m_hosts.size(); ++j) {
                 if (j == i)
@@ -147,11 +147,11 @@
                     sum.begun[customer] += amount;
             }
             m_others[i] = sum;
-            m_hosts[i]->othersChanged();
+            m_hosts[i]->peerLoadChanged();
         }
     }
 
-    std::vector<OthersLoad> m_others;
+    std::vector<PeerLoad> m_others;
     std::vector<RegisteredServer> m_servers;
     std::vector<std::unique_ptr<Dispatcher>> m_hosts;
     std::map<Base::ServerId, Base::TimePoint> m_free;
@@ -240,12 +240,12 @@
         servers[i].slots = 64;
     }
     dispatcher.setServers(servers);
-    OthersLoad others;
+    PeerLoad others;
     const Base::CustomerId slow("slow");
     others.asked[slow] = 600000;
     others.received[slow] = 120000;
     others.begun[slow] = 120000;
-    dispatcher.setOthers(others);
+    dispatcher.setPeerLoad(others);
     // The other one, at this host, has its share of the two seconds, and servers have room.
     Base::TimePoint now = start;
     WorkId id = 0;
@@ -280,16 +280,16 @@
     RegisteredServer server;
     server.id = Base::ServerId("s");
     server.slots = 64;
-    OthersLoad othersOfBehind;
-    OthersLoad othersOfIdle;
+    PeerLoad othersOfBehind;
+    PeerLoad othersOfIdle;
     behind.setServers({server});
-    behind.setOthers(othersOfBehind);
+    behind.setPeerLoad(othersOfBehind);
     idle.setServers({server});
-    idle.setOthers(othersOfIdle);
+    idle.setPeerLoad(othersOfIdle);
     std::size_t served = 0;
     WorkId id = 0;
     for (Base::TimePoint now = start; now < start + seconds(6); now += milliseconds(20)) {
-        behind.turnedAwayBefore(work(++id, "stays", now), now);
+        behind.recordTurnedAway(work(++id, "stays", now), now);
         HostLoad load;
         behind.report(load, now);
         othersOfIdle.asked = load.asked;
@@ -313,8 +313,8 @@
     // events are a third of a second behind, and the others were held to what it had before.
     CustomerShares shares;
     shares.setThroughput(100000);
-    OthersLoad others;
-    shares.setOthers(others);
+    PeerLoad others;
+    shares.setPeerLoad(others);
     const Base::CustomerId large("large");
     const Base::CustomerId jumping("jumping");
     others.asked[large] = 400000;
--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -100,7 +100,7 @@
     HostLoad load;
     one.report(load, start);
     REQUIRE(load.partUses.size() >= used.size());
-    other.learnPartUses(load.partUses, start);
+    other.applyPartUses(load.partUses, start);
     const Base::TimePoint now = start + milliseconds(200);
     for (WorkId id = 100; id < 104; ++id)
         CHECK(used.count(onlyPlacement(other.submit(prompt(id, 42, now), now))) == 1);
@@ -283,12 +283,12 @@
         return fetched;
     };
     CHECK(fetchedOf(seconds(1)) == 0);
-    traits.moveMsPerToken = 0.001;
+    traits.transferMsPerToken = 0.001;
     CHECK(fetchedOf(seconds(1)) >= 3 * sharedTokens);
     // The keeper has not read it yet: a fetch would come back empty.
     CHECK(fetchedOf(milliseconds(10)) == 0);
     // Slow links: reading is cheaper.
-    traits.moveMsPerToken = 0.2;
+    traits.transferMsPerToken = 0.2;
     CHECK(fetchedOf(seconds(1)) == 0);
 }
 
--- a/tests/auto/routing/tst_serverset.cpp
+++ b/tests/auto/routing/tst_serverset.cpp
@@ -119,7 +119,7 @@
     // An older one that is heard of later changes nothing.
     set.outageReported(start + seconds(1));
     CHECK(set.apply({server("c")}, start + seconds(5)).gone.empty());
-    CHECK_FALSE(set.isSettled(start + seconds(5)));
+    CHECK_FALSE(set.isAuthoritative(start + seconds(5)));
     CHECK(set.apply({server("c")}, start + milliseconds(6999)).gone.empty());
     CHECK(set.apply({server("c")}, start + seconds(7)).gone.size() == 2);
 }
@@ -131,7 +131,7 @@
     set.apply({server("a"), server("b")}, start);
     set.outageReported(start + milliseconds(900));
     CHECK(set.apply({server("b")}, start + seconds(1)).gone.size() == 1);
-    CHECK(set.isSettled(start + seconds(1)));
+    CHECK(set.isAuthoritative(start + seconds(1)));
 }
 
 // Guards against a report of long ago that keeps servers which are gone.
@@ -203,13 +203,13 @@
     // the one that reads for its zone, and still kept entries that were missing.
     ServerSet set(seconds(2));
     set.apply({server("a")}, start);
-    CHECK(set.isSettled(start));
+    CHECK(set.isAuthoritative(start));
     set.storeFailed(start + seconds(1));
-    CHECK_FALSE(set.isSettled(start + seconds(1)));
+    CHECK_FALSE(set.isAuthoritative(start + seconds(1)));
     set.apply({}, start + seconds(4));
     CHECK(set.usable(Base::ServerId("a")) != nullptr);
-    CHECK_FALSE(set.isSettled(start + seconds(5)));
-    CHECK(set.isSettled(start + seconds(6)));
+    CHECK_FALSE(set.isAuthoritative(start + seconds(5)));
+    CHECK(set.isAuthoritative(start + seconds(6)));
 }
 
 TEST_CASE("a host that takes changes from another one has the same servers", "[routing]")
--- a/tests/auto/routing/tst_backlogwatch.cpp
+++ b/tests/auto/routing/tst_streamadmission.cpp
@@ -1,4 +1,4 @@
-#include "routing/backlogwatch.h"
+#include "routing/streamadmission.h"
 
 #include <catch2/catch.hpp>
 
@@ -45,8 +45,8 @@
 {
     const Base::TimePoint firstSecondOver{seconds(101)};
     Base::TimePoint now{seconds(100)};
-    BacklogWatch watch(120);
-    watch.noteIdle(now);
+    StreamAdmission watch(120);
+    watch.recordIdle(now);
     Outcome outcome;
     double backlog = 0;
     double due = 0;
@@ -59,13 +59,13 @@
             if (waitFor(backlog) > callersWait)
                 continue;
             const Work work = isLong ? stream(17000, 480) : stream(1460, 700);
-            if (chooses && !watch.takesStream(work, now)) {
+            if (chooses && !watch.admitStream(work, now)) {
                 backlog += 0.08;
                 continue;
             }
             const double cost = 0.125 + 0.04 * (isLong ? 20 : 30);
             backlog += cost;
-            watch.noteEvents(isLong ? 20 : 30);
+            watch.recordEvents(isLong ? 20 : 30);
             if (now >= firstSecondOver)
                 outcome.promisedMilliseconds += cost;
             outcome.servedTokens += work.promptTokens;
@@ -73,7 +73,7 @@
         backlog -= millisecondsOfProcessor;
         if (backlog <= 0) {
             backlog = 0;
-            watch.noteIdle(now);
+            watch.recordIdle(now);
         }
         outcome.longestWait = std::max(outcome.longestWait, waitFor(backlog));
     }
@@ -92,8 +92,8 @@
 PerCustomer playTwo(int longPerSecond, int shortPerSecond)
 {
     Base::TimePoint now{seconds(100)};
-    BacklogWatch watch(120);
-    watch.noteIdle(now);
+    StreamAdmission watch(120);
+    watch.recordIdle(now);
     PerCustomer taken;
     double backlog = 0;
     double dueLong = 0;
@@ -108,13 +108,13 @@
             (isLong ? dueLong : dueShort) -= 1;
             Work work = isLong ? stream(17000, 480) : stream(1460, 700);
             work.customer = Base::CustomerId(isLong ? "long" : "short");
-            if (!watch.takesStream(work, now)) {
+            if (!watch.admitStream(work, now)) {
                 backlog += 0.08;
                 continue;
             }
             const double cost = 0.125 + 0.04 * (isLong ? 20 : 30);
             backlog += cost;
-            watch.noteEvents(isLong ? 20 : 30);
+            watch.recordEvents(isLong ? 20 : 30);
             if (ms >= 2000)
                 (isLong ? taken.ofLong : taken.ofShort) += cost;
         }
@@ -122,7 +122,7 @@
         dueShort = std::min(dueShort, 1.0);
         backlog = std::max(backlog - millisecondsOfProcessor, 0.0);
         if (backlog <= 0)
-            watch.noteIdle(now);
+            watch.recordIdle(now);
     }
     return taken;
 }
@@ -195,8 +195,8 @@
 {
     // Guards against a part that is left unused: few of its streams serve more than their mean.
     Base::TimePoint now{seconds(100)};
-    BacklogWatch watch(120);
-    watch.noteIdle(now);
+    StreamAdmission watch(120);
+    watch.recordIdle(now);
     double promised = 0;
     double backlog = 0;
     for (int i = 0; i < 20000; ++i) {
@@ -204,16 +204,16 @@
         backlog -= millisecondsOfProcessor / 2;
         if (backlog <= 0) {
             backlog = 0;
-            watch.noteIdle(now);
+            watch.recordIdle(now);
         }
         if (waitFor(backlog) > seconds(1))
             continue;
         const Work work = i % 100 == 0 ? stream(40000, 400) : stream(1000, 400);
-        if (!watch.takesStream(work, now)) {
+        if (!watch.admitStream(work, now)) {
             backlog += 0.08;
             continue;
         }
-        watch.noteEvents(20);
+        watch.recordEvents(20);
         backlog += 0.125 + 0.04 * 20;
         if (i >= 4000)
             promised += 0.125 + 0.04 * 20;
@@ -226,8 +226,8 @@
 {
     // Guards against a host that serves nobody beside a flood that is beyond its share.
     Base::TimePoint now{seconds(100)};
-    BacklogWatch watch(120);
-    watch.noteIdle(now);
+    StreamAdmission watch(120);
+    watch.recordIdle(now);
     now += seconds(1);
     Work flood = stream(17000, 480);
     flood.customer = Base::CustomerId("flood");
@@ -236,9 +236,9 @@
     std::size_t taken = 0;
     for (int ms = 0; ms < 5000; ++ms) {
         now += milliseconds(1);
-        if (watch.takesStream(flood, now))
-            watch.giveBack(flood, now);
-        if (ms % 100 == 0 && watch.takesStream(small, now))
+        if (watch.admitStream(flood, now))
+            watch.refundStream(flood, now);
+        if (ms % 100 == 0 && watch.admitStream(small, now))
             ++taken;
     }
     CHECK(taken >= 45);
--- a/tests/auto/scheduling/tst_concurrencylimiter.cpp
+++ b/tests/auto/scheduling/tst_concurrencylimiter.cpp
@@ -128,15 +128,15 @@
     server.slowness = 12;
     server.shape.slots = 400;
     // All servers alike: the work has become long, and the server is given as much as before.
-    server.limiter.setPeersFirstToken(Milliseconds(600));
+    server.limiter.setPeerTimeToFirstToken(Milliseconds(600));
     server.run(20000);
     CHECK(server.limiter.limit() >= before);
-    server.limiter.setPeersFirstToken(Milliseconds(60));
+    server.limiter.setPeerTimeToFirstToken(Milliseconds(60));
     server.run(60000);
     CHECK(server.limiter.limit() < before / 2);
     // A moment's slowness is one cut, however many answers of that moment end later.
     EngineModel brief({1, 64, 300, 400, 4, 0});
-    brief.limiter.setPeersFirstToken(Milliseconds(60));
+    brief.limiter.setPeerTimeToFirstToken(Milliseconds(60));
     brief.run(20000);
     brief.shape.slots = 400;
     brief.slowness = 12;
@@ -161,7 +161,7 @@
     const Base::TimePoint longAfterBoot = Base::TimePoint{} + std::chrono::hours(100);
     created->advance(1, longAfterBoot);
     CHECK(created->isHealthy());
-    CHECK(created->limit() == ConcurrencyLimits().initial);
+    CHECK(created->limit() == ConcurrencyLimits().initialLimit);
     created->advance(1, longAfterBoot + ConcurrencyLimits().stallAfter);
     CHECK_FALSE(created->isHealthy());
 }
--- a/tests/auto/scheduling/tst_fairqueue.cpp
+++ b/tests/auto/scheduling/tst_fairqueue.cpp
@@ -52,7 +52,7 @@
                 break;
             case 1:
                 service.received[customer] /= 2;
-                queue.positionLowered(customer);
+                queue.invalidatePosition(customer);
                 break;
             case 2:
                 claims.over = {Base::ClassId(n % 2 == 0 ? "a" : "c")};
--- a/tests/auto/scheduling/tst_placement.cpp
+++ b/tests/auto/scheduling/tst_placement.cpp
@@ -30,7 +30,7 @@
 {
     rc::prop("for any loads and hints", [] {
         ServerSelector selector;
-        std::vector<ServerChoice> choices;
+        std::vector<ServerCandidate> choices;
         const auto n = *rc::gen::inRange<std::size_t>(1, 8);
         double least = 2;
         for (std::size_t i = 0; i < n; ++i) {
@@ -64,8 +64,8 @@
     AffinityPolicy policy;
     policy.largestPrefixes = 100;
     ServerSelector selector(policy);
-    const std::vector<ServerChoice> choices{{serverNamed(0), 1, 10, true},
-                                            {serverNamed(1), 2, 10, false}};
+    const std::vector<ServerCandidate> choices{{serverNamed(0), 1, 10, true},
+                                               {serverNamed(1), 2, 10, false}};
     selector.recordCacheEvent(serverNamed(1), 7, true, at(0));
     CHECK(selector.choose(choices, 7, at(1000)) == 1);
     selector.recordCacheEvent(serverNamed(1), 7, false, at(3000));
@@ -136,9 +136,9 @@
     idle.recordAnswer(2, 0, at(1101));
     CHECK(idle.ask(0, 2, 20, seen, at(1101)) == Handover{1, 3});
     idle.recordAnswer(1, 3, at(1102));
-    CHECK(crowded.planForAskers(2, at(1200)) == std::vector<Handover>{{0, 2}});
-    CHECK(crowded.planForAskers(2, at(1200)) == std::vector<Handover>{{0, 1}});
-    CHECK(crowded.planForAskers(2, at(1200)).empty());
+    CHECK(crowded.planForPendingAsks(2, at(1200)) == std::vector<Handover>{{0, 2}});
+    CHECK(crowded.planForPendingAsks(2, at(1200)) == std::vector<Handover>{{0, 1}});
+    CHECK(crowded.planForPendingAsks(2, at(1200)).empty());
     const std::vector<ShardSummary> quiet{{0, 0, 9, 10, at(1000)}, {1, 0, 9, 10, at(1000)}};
     CHECK(!HandoverPlanner().ask(0, 9, 10, quiet, at(1000)));
 }
--- a/tests/auto/scheduling/tst_retry.cpp
+++ b/tests/auto/scheduling/tst_retry.cpp
@@ -13,8 +13,8 @@
 {
     rc::prop("the step follows from what is known", [] {
         FailedAttempt failed;
-        failed.ran =
-            *rc::gen::element(AttemptRan::NeverSent, AttemptRan::Refused, AttemptRan::MaybeRan);
+        failed.ran = *rc::gen::element(AttemptExecution::NeverSent, AttemptExecution::Refused,
+                                       AttemptExecution::MaybeRan);
         failed.isRepeatable = *rc::gen::arbitrary<bool>();
         failed.isAnswerStarted = *rc::gen::arbitrary<bool>();
         failed.isStreamResumable = *rc::gen::arbitrary<bool>();
@@ -28,7 +28,7 @@
         Base::SeededRandom random(*rc::gen::arbitrary<std::uint64_t>());
         const double before = budget.available();
         const RetryDecision decision = RetryPolicy::create({})->decide(failed, budget, random);
-        const bool mayHaveRun = failed.ran == AttemptRan::MaybeRan;
+        const bool mayHaveRun = failed.ran == AttemptExecution::MaybeRan;
         if (decision.step == RetryStep::GiveUp) {
             RC_ASSERT(budget.available() == before);
             const bool isHopeless = isSpent || failed.attempts >= 3 || failed.deadlineWithin;
--- a/tests/auto/wire/arbitrarymessages.h
+++ b/tests/auto/wire/arbitrarymessages.h
@@ -153,7 +153,7 @@
     it.floor = number<std::uint64_t>();
     it.isFull = number<bool>();
     it.isSnapshot = number<bool>();
-    it.isAsking = number<bool>();
+    it.isSnapshotRequest = number<bool>();
     const int entries = *rc::gen::inRange(0, 4);
     for (int i = 0; i < entries; ++i) {
         it.entries.push_back(ledgerEntry());
--- a/tools/coordinationmeasure/main.cpp
+++ b/tools/coordinationmeasure/main.cpp
@@ -145,7 +145,7 @@
                     continue;
                 ++pushes;
                 bytes += bytesOf(Node::ConfigurationPush{changes});
-                routers[from]->replica.learn(changes);
+                routers[from]->replica.applyChanges(changes);
             }
         }
     };
--- a/tools/schedulingmodels/admittedpool.h
+++ b/tools/schedulingmodels/admittedpool.h
@@ -66,7 +66,7 @@
         work.arrivedAt = at(m_now);
         PoolState pool;
         pool.waiting = m_queue.size();
-        pool.waitingOfCustomer = m_queue.waitingOf(customer);
+        pool.waitingOfCustomer = m_queue.waitingCount(customer);
         pool.backloggedCustomers = m_queue.backloggedCount() + (pool.waitingOfCustomer == 0);
         pool.usableServers = 1;
         pool.freePermits = m_slots - m_ends.size();
--- a/tools/schedulingmodels/backloggedpool.h
+++ b/tools/schedulingmodels/backloggedpool.h
@@ -49,7 +49,7 @@
             }
             held -= run.held;
             m_holds.recordCost(run.workClass, hint, run.cost);
-            queue.positionLowered(run.customer);
+            queue.invalidatePosition(run.customer);
             run = m_running.back();
             m_running.pop_back();
         }
--- a/tools/schedulingmodels/failingpool.h
+++ b/tools/schedulingmodels/failingpool.h
@@ -19,7 +19,7 @@
     for (int i = 0; i < 1100; ++i) {
         budget.recordFirstAttempt();
         FailedAttempt failed;
-        failed.ran = AttemptRan::NeverSent;
+        failed.ran = AttemptExecution::NeverSent;
         while (policy.decide(failed, budget, random).step == RetryStep::Retry)
             ++failed.attempts;
         attempts += i >= 100 ? failed.attempts : 0;
--- a/tools/schedulingmodels/shardsmodel.h
+++ b/tools/schedulingmodels/shardsmodel.h
@@ -99,7 +99,8 @@
             for (const Handover &handover : m_planners[i].plan(i, seen, at(now)))
                 move(i, handover.shard, handover.count);
             if (m_waiting[i] > 0 && seen[i].freePermits == 0) {
-                for (const Handover &handover : m_planners[i].planForAskers(m_waiting[i], at(now)))
+                for (const Handover &handover :
+                     m_planners[i].planForPendingAsks(m_waiting[i], at(now)))
                     move(i, handover.shard, handover.count);
             }
             if (m_waiting[i] > 0 || seen[i].freePermits == 0)
--- a/tools/slopes/coordinationslopes.cpp
+++ b/tools/slopes/coordinationslopes.cpp
@@ -26,10 +26,10 @@
     return Base::HostId("router-" + std::to_string(index));
 }
 
-Coordination::Membership makeMembership(std::size_t members, std::uint64_t fullEvery)
+Coordination::Membership makeMembership(std::size_t members, std::uint64_t heartbeatsPerFull)
 {
     Coordination::MembershipPolicy policy;
-    policy.fullEvery = fullEvery;
+    policy.heartbeatsPerFull = heartbeatsPerFull;
     Storage::HostListing listing;
     listing.version = 1;
     for (std::size_t i = 0; i < members; ++i) {
--- a/tools/slopes/homeslopes.cpp
+++ b/tools/slopes/homeslopes.cpp
@@ -69,7 +69,7 @@
         std::move(*Coordination::ServiceLedger::create({}, Base::HostId("router-17"), 1, pool));
     Node::NodeSettings settings;
     // Else the limits grow until nothing waits.
-    settings.concurrency.largest = settings.concurrency.initial;
+    settings.concurrency.maxLimit = settings.concurrency.initialLimit;
     auto home = std::move(*Node::PoolHome::create(settings, pool, 0, ledger, answers, random));
     std::vector<Node::Server> servers(serversOfShard);
     std::vector<const Node::Server *> pointers;
--- a/tools/virtualfleet/virtualrouter.h
+++ b/tools/virtualfleet/virtualrouter.h
@@ -96,7 +96,7 @@
     std::unique_ptr<Node::Node> m_node;
     std::map<Node::AttemptId, std::shared_ptr<Transfer>> m_transfers;
     std::vector<Node::Event> m_held;
-    std::array<std::uint64_t, Coordination::trafficKinds> m_bytes{};
+    std::array<std::uint64_t, Coordination::trafficKindCount> m_bytes{};
     std::uint64_t m_messages = 0;
     std::size_t m_waiting = 0;
     bool m_isFrozen = false;
