--- a/src/libs/scheduling/concurrencylimiter.cpp
+++ b/src/libs/scheduling/concurrencylimiter.cpp
@@ -37,7 +37,8 @@
 
 Base::Result<ConcurrencyLimiter> ConcurrencyLimiter::create(const ConcurrencyLimits &limits)
 {
-    if (limits.minLimit == 0 || limits.initial < limits.minLimit || limits.largest < limits.initial)
+    if (limits.minLimit == 0 || limits.initialLimit < limits.minLimit
+        || limits.maxLimit < limits.initialLimit)
         return boost::leaf::new_error(InvalidPolicy{PolicyField::ConcurrencyRange});
     if (limits.reportLag <= Base::Duration::zero()
         || limits.initialProbeDelay <= Base::Duration::zero()
@@ -48,8 +49,8 @@
 
 ConcurrencyLimiter::ConcurrencyLimiter(const ConcurrencyLimits &limits)
     : m_limits(limits)
-    , m_limit(limits.initial)
-    , m_growthStep(limits.initial)
+    , m_limit(limits.initialLimit)
+    , m_growthStep(limits.initialLimit)
     , m_probeDelay(limits.initialProbeDelay)
 {}
 
@@ -107,7 +108,7 @@
     m_lastProgressAt = now;
 }
 
-void ConcurrencyLimiter::setPeersFirstToken(std::optional<Base::Duration> firstToken)
+void ConcurrencyLimiter::setPeerTimeToFirstToken(std::optional<Base::Duration> firstToken)
 {
     m_peerFirstToken = firstToken;
 }
@@ -288,7 +289,7 @@
 
 void ConcurrencyLimiter::setLimit(std::size_t limit, Base::TimePoint now)
 {
-    const std::size_t bounded = std::clamp(limit, m_limits.minLimit, m_limits.largest);
+    const std::size_t bounded = std::clamp(limit, m_limits.minLimit, m_limits.maxLimit);
     m_wasLastChangeGrowth = bounded >= m_limit;
     m_limit = bounded;
     m_limitChangedAt = now;
--- a/src/libs/scheduling/concurrencylimiter.h
+++ b/src/libs/scheduling/concurrencylimiter.h
@@ -43,10 +43,10 @@
 {
     /// Limit of a server that is not known yet. Few engines run fewer requests at a time; the
     /// limit doubles from here.
-    std::size_t initial = 8;
+    std::size_t initialLimit = 8;
     /// Bounds of the limit.
     std::size_t minLimit = 1;
-    std::size_t largest = 256;
+    std::size_t maxLimit = 256;
     /// Longest lag of a load report. The effect of a change of the limit that no report has
     /// shown is evaluated after this time at the latest.
     Base::Duration reportLag = std::chrono::milliseconds(2000);
@@ -118,10 +118,10 @@
     /// Records that a part of an answer arrived.
     void recordProgress(Base::TimePoint now);
     /// Shortest time to first token in the last full window; empty before the first is full.
-    std::optional<Base::Duration> quickestFirstToken() const { return m_lastWindowMin; }
+    std::optional<Base::Duration> minTimeToFirstToken() const { return m_lastWindowMin; }
     /// Sets the median of minTimeToFirstToken() over the pool's servers. It is empty for a
     /// single server; slowness is then not detected because there is no other server to use.
-    void setPeersFirstToken(std::optional<Base::Duration> firstToken);
+    void setPeerTimeToFirstToken(std::optional<Base::Duration> firstToken);
     /// Handles what depends on time: probes, frozen servers, and growth without load reports.
     void advance(std::size_t inUse, Base::TimePoint now);
 
--- a/src/libs/scheduling/fairqueue.h
+++ b/src/libs/scheduling/fairqueue.h
@@ -85,11 +85,11 @@
     /// Removes and returns all work whose deadline is at or before \a now, in order of deadline.
     std::vector<WaitingWork> takeExpired(Base::TimePoint now);
     /// Must be called when the position of \a customer may have decreased; it is then read again.
-    void positionLowered(const Base::CustomerId &customer);
+    void invalidatePosition(const Base::CustomerId &customer);
 
     std::size_t size() const { return m_items.size(); }
     bool isEmpty() const { return m_items.empty(); }
-    std::size_t waitingOf(const Base::CustomerId &customer) const;
+    std::size_t waitingCount(const Base::CustomerId &customer) const;
     std::size_t backloggedCount() const { return m_customers.size(); }
     std::vector<Base::CustomerId> backloggedCustomers() const;
     /// The backlogged customer with the lowest position; empty if none waits. Its position is
--- a/src/libs/scheduling/handoverplanner.cpp
+++ b/src/libs/scheduling/handoverplanner.cpp
@@ -109,7 +109,7 @@
     return granted;
 }
 
-std::vector<Handover> HandoverPlanner::planForAskers(std::size_t waiting, Base::TimePoint now)
+std::vector<Handover> HandoverPlanner::planForPendingAsks(std::size_t waiting, Base::TimePoint now)
 {
     std::erase_if(m_pendingAsks, [this, now](const auto &pending) {
         return now - pending.second.at >= m_policy.askLifetime;
--- a/src/libs/scheduling/handoverplanner.h
+++ b/src/libs/scheduling/handoverplanner.h
@@ -89,7 +89,7 @@
                        Base::TimePoint now);
     /// Returns what to hand over for pending asks. Must only be called while \a waiting items wait
     /// and no permit is free.
-    std::vector<Handover> planForAskers(std::size_t waiting, Base::TimePoint now);
+    std::vector<Handover> planForPendingAsks(std::size_t waiting, Base::TimePoint now);
 
 private:
     struct TimedCount
--- a/src/libs/scheduling/retrypolicy.cpp
+++ b/src/libs/scheduling/retrypolicy.cpp
@@ -48,7 +48,7 @@
 /// is then not sent again, but its stream may be resumed, because that runs nothing again.
 RetryStep RetryPolicy::allowedStep(const FailedAttempt &failed)
 {
-    const bool mayHaveRun = failed.ran == AttemptRan::MaybeRan;
+    const bool mayHaveRun = failed.ran == AttemptExecution::MaybeRan;
     if (mayHaveRun && failed.isStreamResumable)
         return RetryStep::ResumeStream;
     if (failed.isAnswerStarted)
--- a/src/libs/scheduling/retrypolicy.h
+++ b/src/libs/scheduling/retrypolicy.h
@@ -13,7 +13,7 @@
 class RetryBudget;
 
 /// What is known about whether failed attempts ran at a server.
-enum class AttemptRan {
+enum class AttemptExecution {
     NeverSent, ///< No byte was sent, so it did not run.
     Refused,   ///< The server reported that it did not run it.
     MaybeRan,  ///< It was sent, wholly or in part.
@@ -24,7 +24,7 @@
 {
     /// Summarises all attempts so far: MaybeRan once any of them may have run, even if the last
     /// one, or an attempt to resume it, was never sent.
-    AttemptRan ran = AttemptRan::MaybeRan;
+    AttemptExecution ran = AttemptExecution::MaybeRan;
     /// Whether the caller marked the work as repeatable.
     bool isRepeatable = true;
     /// Whether a part of the answer has been sent to the caller.
--- a/src/libs/scheduling/serverselector.cpp
+++ b/src/libs/scheduling/serverselector.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-double utilisation(const ServerChoice &candidate)
+double utilisation(const ServerCandidate &candidate)
 {
     return static_cast<double>(candidate.inUse) / static_cast<double>(candidate.limit);
 }
 
-double utilisationOfOnePermit(const ServerChoice &candidate)
+double utilisationOfOnePermit(const ServerCandidate &candidate)
 {
     return 1.0 / static_cast<double>(candidate.limit);
 }
@@ -23,11 +23,11 @@
     : m_policy(policy)
 {}
 
-std::optional<std::size_t> ServerSelector::choose(const std::vector<ServerChoice> &candidates,
+std::optional<std::size_t> ServerSelector::choose(const std::vector<ServerCandidate> &candidates,
                                                   std::uint64_t prefix, Base::TimePoint now) const
 {
     double leastUtilisation = std::numeric_limits<double>::infinity();
-    for (const ServerChoice &candidate : candidates)
+    for (const ServerCandidate &candidate : candidates)
         leastUtilisation = std::min(leastUtilisation, utilisation(candidate));
     std::optional<std::size_t> best;
     std::optional<std::size_t> bestHolder;
@@ -39,7 +39,7 @@
         return utilisation(candidates[i]) < utilisation(candidates[*other]);
     };
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        const ServerChoice &candidate = candidates[i];
+        const ServerCandidate &candidate = candidates[i];
         if (utilisation(candidate) < leastUtilisation + utilisationOfOnePermit(candidate)
             && isBetter(i, best))
             best = i;
--- a/src/libs/scheduling/serverselector.h
+++ b/src/libs/scheduling/serverselector.h
@@ -14,7 +14,7 @@
 namespace Scheduling {
 
 /// A backend server that has at least one free permit.
-struct ServerChoice
+struct ServerCandidate
 {
     Base::ServerId server;
     std::size_t inUse = 0;
@@ -69,7 +69,7 @@
     /// empty. \a prefix is the hash of the prompt's beginning, 0 for work without one. If no
     /// holder is selected, a server in the same availability zone is preferred among those within
     /// one permit of the least used server.
-    std::optional<std::size_t> choose(const std::vector<ServerChoice> &candidates,
+    std::optional<std::size_t> choose(const std::vector<ServerCandidate> &candidates,
                                       std::uint64_t prefix, Base::TimePoint now) const;
     /// Records that work with \a prefix was sent to \a server.
     void recordPrefix(std::uint64_t prefix, const Base::ServerId &server, Base::TimePoint now);
--- a/tests/auto/scheduling/tst_concurrencylimiter.cpp
+++ b/tests/auto/scheduling/tst_concurrencylimiter.cpp
@@ -131,15 +131,15 @@
     server.slowness = 12;
     server.shape.slots = 400;
     // All servers are equally slow: the work has become longer, and the limit does not shrink.
-    server.limiter.setPeersFirstToken(Milliseconds(600));
+    server.limiter.setPeerTimeToFirstToken(Milliseconds(600));
     server.run(20000);
     CHECK(server.limiter.limit() >= before);
-    server.limiter.setPeersFirstToken(Milliseconds(60));
+    server.limiter.setPeerTimeToFirstToken(Milliseconds(60));
     server.run(60000);
     CHECK(server.limiter.limit() < before / 2);
     // A short slow phase causes a single cut, however many of its answers end later.
     EngineModel brief({1, 64, 300, 400, 4, 0});
-    brief.limiter.setPeersFirstToken(Milliseconds(60));
+    brief.limiter.setPeerTimeToFirstToken(Milliseconds(60));
     brief.run(20000);
     brief.shape.slots = 400;
     brief.slowness = 12;
@@ -164,7 +164,7 @@
     const Base::TimePoint longAfterBoot = Base::TimePoint{} + std::chrono::hours(100);
     created->advance(1, longAfterBoot);
     CHECK(created->isHealthy());
-    CHECK(created->limit() == ConcurrencyLimits().initial);
+    CHECK(created->limit() == ConcurrencyLimits().initialLimit);
     created->advance(1, longAfterBoot + ConcurrencyLimits().stallTimeout);
     CHECK_FALSE(created->isHealthy());
 }
