--- a/src/libs/coordination/ledgerdelta.h
+++ b/src/libs/coordination/ledgerdelta.h
@@ -9,8 +9,9 @@
 
 namespace Coordination {
 
-/// One run of counters: a start of a router, and within it an epoch. A router begins a new
-/// epoch when it learns that others have closed the books on its current one.
+/// Identifies one set of a router's charge counters: one run of its process (a start) and an
+/// epoch within it. A router begins a new epoch when it learns that peers have folded its
+/// current one.
 struct LedgerStart
 {
     Base::HostId host;
@@ -20,17 +21,18 @@
     auto operator<=>(const LedgerStart &) const = default;
 };
 
-/// "All counters of this start and of earlier ones of its host are in my settled sums."
+/// Tells peers that the sender has folded \a start and all earlier starts of the same host:
+/// their charges are part of LedgerEntry::settled and are no longer counted one by one.
 struct FoldedStart
 {
     LedgerStart start;
-    /// How long ago they were folded.
+    /// Time since the start was folded.
     std::chrono::seconds age{0};
 
     bool operator==(const FoldedStart &) const = default;
 };
 
-/// What the sender has seen charged by LedgerDelta::starts[start].
+/// The charge that the sender knows of the start with index \a start in LedgerDelta::starts.
 struct SeenCharge
 {
     std::uint32_t start = 0;
@@ -39,30 +41,32 @@
     bool operator==(const SeenCharge &) const = default;
 };
 
-/// One customer's entry as one router knows it. Every number only grows while the round and
-/// the sender's start last, so that lost, doubled and reordered deltas do no harm.
+/// One customer's entry as one router knows it. No number decreases within a round and a start
+/// of the sender, so that lost, duplicated and reordered deltas do no harm.
 struct LedgerEntry
 {
     Base::CustomerId customer;
-    /// Weighed tokens charged at the sender, in this round and this start of the sender.
+    /// Weighed tokens charged at the sender in this round and this start of the sender.
     Base::ServiceUnits charged = 0;
-    /// Level at which the customer entered the round, and all lifts since (largest known).
+    /// Position at which the customer entered the round plus all lifts since then; the largest
+    /// value that the sender knows.
     Base::ServiceUnits lifted = 0;
-    /// Sum of all debt forgiven in this round (largest known).
+    /// Sum of all debt forgiven in this round; the largest value that the sender knows.
     Base::ServiceUnits forgiven = 0;
-    /// The level at which some router took the customer in that did not know it, or had dropped
-    /// it. A larger round replaces the counters of a smaller one: they are below that level.
+    /// Generation of the customer's counters: the position at which some router added the
+    /// customer, which it did not know or had dropped. A larger round replaces the counters of a
+    /// smaller one, which are below that position.
     std::uint64_t round = 0;
-    /// Only where LedgerDelta::isFull: charged by all folded starts together.
+    /// Sum charged by all folded starts. Valid only if LedgerDelta::isFull.
     Base::ServiceUnits settled = 0;
-    /// Only in a snapshot: what each other start has charged.
+    /// What each other start has charged. Filled only in a snapshot.
     std::vector<SeenCharge> seen;
 
     bool operator==(const LedgerEntry &) const = default;
 };
 
-/// Entries of one pool: those that changed since the last exchange, or (isSnapshot) all that a
-/// router that starts or takes over needs.
+/// Entries of one pool that a router sends to its peers: those changed since the last exchange
+/// or, if isSnapshot, everything that a router needs which starts or takes over a home.
 struct LedgerDelta
 {
     Base::HostId sender;
@@ -70,16 +74,16 @@
     Base::PoolId pool;
     std::vector<LedgerEntry> entries;
     std::uint32_t epoch = 0;
-    /// Least position of a customer that waits at the sender; 0 if none waits.
+    /// Smallest position of a customer that waits at the sender; 0 if none waits.
     Base::ServiceUnits floor = 0;
-    /// The entries' settled sums hold, together with \a folded.
+    /// Whether the entries' settled sums and \a folded are filled in.
     bool isFull = false;
-    /// All that a warm sender knows, as an answer to isAsking.
+    /// Whether this is the complete state of a sender that is not cold.
     bool isSnapshot = false;
-    /// The sender started cold and asks for a snapshot.
+    /// Whether the sender has started cold and requests a snapshot.
     bool isAsking = false;
     std::vector<FoldedStart> folded;
-    /// Starts that SeenCharge::start points into.
+    /// The starts that SeenCharge::start refers to by index.
     std::vector<LedgerStart> starts;
 
     bool operator==(const LedgerDelta &) const = default;
