--- a/src/libs/coordination/serviceledger.cpp
+++ b/src/libs/coordination/serviceledger.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// Idle customers and silent starts are looked for this often.
+/// Interval between searches for idle customers and silent starts.
 constexpr Base::Duration sweepInterval = std::chrono::seconds(10);
-/// Shards call clampDebts() every 50 ms while work waits.
-constexpr Base::Duration floorShownFor = std::chrono::seconds(1);
+/// A floor that no shard has renewed for this long is no longer sent. Shards call clampDebts()
+/// every 50 ms while work waits.
+constexpr Base::Duration localFloorTimeout = std::chrono::seconds(1);
 
 } // namespace
 
@@ -18,7 +19,7 @@
                                                   Base::Incarnation incarnation,
                                                   const Base::PoolId &pool)
 {
-    if (policy.largestDebt == 0 || policy.foldedLife <= policy.foldAfter)
+    if (policy.maxDebt == 0 || policy.foldedRetention <= policy.foldAfter)
         return boost::leaf::new_error(InvalidLedgerPolicy{});
     return ServiceLedger(policy, LedgerStart{self, incarnation, 0}, pool);
 }
@@ -30,32 +31,32 @@
     , m_pool(pool)
 {}
 
-Base::ServiceUnits ServiceLedger::Account::shared() const
+Base::ServiceUnits ServiceLedger::Account::replicatedPosition() const
 {
-    const Base::ServiceUnits sum = lifted + settled + elsewhere + chargedHere;
+    const Base::ServiceUnits sum = lifted + settled + chargedRemotely + chargedLocally;
     return sum - std::min(sum, forgiven);
 }
 
 Base::ServiceUnits ServiceLedger::Account::position() const
 {
-    return shared() + held;
+    return replicatedPosition() + held;
 }
 
 Base::ServiceUnits ServiceLedger::position(const Base::CustomerId &customer) const
 {
     const auto it = m_accounts.find(customer);
-    return it == m_accounts.end() ? m_lastFloor : it->second.position();
+    return it == m_accounts.end() ? m_highestFloor : it->second.position();
 }
 
 void ServiceLedger::charge(const Base::CustomerId &customer, Base::ServiceUnits units)
 {
-    use(customer, m_lastFloor).chargedHere += units;
+    findOrCreate(customer, m_highestFloor).chargedLocally += units;
     m_changed.insert(customer);
 }
 
 void ServiceLedger::hold(const Base::CustomerId &customer, Base::ServiceUnits units)
 {
-    use(customer, m_lastFloor).held += units;
+    findOrCreate(customer, m_highestFloor).held += units;
 }
 
 void ServiceLedger::releaseHold(const Base::CustomerId &customer, Base::ServiceUnits units)
@@ -69,8 +70,8 @@
 void ServiceLedger::becomeBacklogged(const Base::CustomerId &customer,
                                      const std::vector<Base::CustomerId> &backlogged)
 {
-    const Base::ServiceUnits floor = floorAmong(backlogged, customer);
-    Account &account = use(customer, floor);
+    const Base::ServiceUnits floor = poolFloor(backlogged, customer);
+    Account &account = findOrCreate(customer, floor);
     if (account.position() < floor) {
         account.lifted += floor - account.position();
         m_changed.insert(customer);
@@ -85,20 +86,20 @@
 {
     if (backlogged.empty())
         return;
-    // Peers are told the floor of those that wait here. Told the least that is known anywhere,
-    // they would tell it back, and a floor once low would never rise again.
-    if (const auto here = floorHere(backlogged, Base::CustomerId()))
-        noteFloor(*here);
-    const Base::ServiceUnits floor = floorAmong(backlogged, Base::CustomerId());
+    // Peers are told only the floor of the customers that wait here. If they were told the
+    // smallest floor known anywhere, they would report it back and it could never rise again.
+    if (const auto here = localFloor(backlogged, Base::CustomerId()))
+        recordFloor(*here);
+    const Base::ServiceUnits floor = poolFloor(backlogged, Base::CustomerId());
     for (const Base::CustomerId &customer : backlogged)
         forgive(customer, floor);
 }
 
-void ServiceLedger::noteFloor(Base::ServiceUnits floor)
+void ServiceLedger::recordFloor(Base::ServiceUnits floor)
 {
-    m_floorNow = floor;
-    m_floorAt = m_now;
-    m_lastFloor = std::max(m_lastFloor, floor);
+    m_localFloor = floor;
+    m_localFloorAt = m_now;
+    m_highestFloor = std::max(m_highestFloor, floor);
 }
 
 void ServiceLedger::forgive(const Base::CustomerId &customer, Base::ServiceUnits floor)
@@ -106,16 +107,16 @@
     const auto it = m_accounts.find(customer);
     if (it == m_accounts.end())
         return;
-    const Base::ServiceUnits largest = floor + m_policy.largestDebt;
-    if (it->second.position() <= largest)
+    const Base::ServiceUnits ceiling = floor + m_policy.maxDebt;
+    if (it->second.position() <= ceiling)
         return;
-    it->second.forgiven += it->second.position() - largest;
+    it->second.forgiven += it->second.position() - ceiling;
     m_changed.insert(customer);
 }
 
 std::optional<Base::ServiceUnits>
-ServiceLedger::floorHere(const std::vector<Base::CustomerId> &backlogged,
-                         const Base::CustomerId &except) const
+ServiceLedger::localFloor(const std::vector<Base::CustomerId> &backlogged,
+                          const Base::CustomerId &except) const
 {
     std::optional<Base::ServiceUnits> floor;
     for (const Base::CustomerId &customer : backlogged) {
@@ -127,55 +128,56 @@
     return floor;
 }
 
-Base::ServiceUnits ServiceLedger::floorAmong(const std::vector<Base::CustomerId> &backlogged,
-                                             const Base::CustomerId &except) const
+Base::ServiceUnits ServiceLedger::poolFloor(const std::vector<Base::CustomerId> &backlogged,
+                                            const Base::CustomerId &except) const
 {
-    std::optional<Base::ServiceUnits> floor = floorHere(backlogged, except);
-    // A customer that waits at another shard only has not left the pool: lifted to the floor
-    // here, it would lose what it is behind there.
-    for (const auto &[start, source] : m_sources) {
-        if (source.floor == 0 || m_now - source.heardAt > m_policy.floorLife)
+    std::optional<Base::ServiceUnits> floor = localFloor(backlogged, except);
+    // A customer that waits only at another shard is still backlogged in the pool. Lifting it to
+    // the local floor would cancel the service that it is still owed there.
+    for (const auto &[start, remote] : m_remoteStarts) {
+        if (remote.floor == 0 || m_now - remote.heardAt > m_policy.peerFloorTimeout)
             continue;
-        floor = floor ? std::min(*floor, source.floor) : source.floor;
+        floor = floor ? std::min(*floor, remote.floor) : remote.floor;
     }
-    return floor ? *floor : m_lastFloor;
+    return floor ? *floor : m_highestFloor;
 }
 
-ServiceLedger::Account &ServiceLedger::use(const Base::CustomerId &customer,
-                                           Base::ServiceUnits level)
+ServiceLedger::Account &ServiceLedger::findOrCreate(const Base::CustomerId &customer,
+                                                    Base::ServiceUnits initialPosition)
 {
     const auto [it, isNew] = m_accounts.try_emplace(customer);
     Account &account = it->second;
     account.usedAt = m_now;
     if (!isNew)
         return account;
-    account.lifted = level;
-    // Counters of a dropped entry are still known to the peers in its old round; the new round
-    // is larger, so theirs are not taken for this one's.
-    account.round = m_droppedRound == 0 ? level : std::max(level, m_droppedRound + 1);
-    if (level > 0)
+    account.lifted = initialPosition;
+    // Peers may still know the counters of a dropped entry in its old round. The new round is
+    // larger, so that those counters are not added to the new entry.
+    account.round =
+        m_maxDroppedRound == 0 ? initialPosition : std::max(initialPosition, m_maxDroppedRound + 1);
+    if (initialPosition > 0)
         m_changed.insert(customer);
     return account;
 }
 
 std::optional<LedgerDelta> ServiceLedger::takeDelta(std::size_t limit)
 {
-    LedgerDelta delta = header();
-    if (m_isCold && m_now >= m_nextAsk) {
-        m_nextAsk = m_now + m_policy.askInterval;
+    LedgerDelta delta = makeHeader();
+    if (m_isCold && m_now >= m_nextSnapshotRequest) {
+        m_nextSnapshotRequest = m_now + m_policy.snapshotRequestInterval;
         delta.isAsking = true;
     }
     std::vector<Base::CustomerId> customers = takeChanged(limit);
     if (m_now >= m_nextRefresh) {
         m_nextRefresh = m_now + m_policy.refreshInterval;
-        addRefreshed(customers);
+        addRefreshEntries(customers);
         delta.isFull = true;
         delta.folded = foldedList();
     }
     for (const Base::CustomerId &customer : customers) {
         Account &account = m_accounts.at(customer);
-        account.sent = account.chargedHere;
-        delta.entries.push_back(entryOf(customer, account, delta.isFull));
+        account.lastSent = account.chargedLocally;
+        delta.entries.push_back(makeEntry(customer, account, delta.isFull));
     }
     if (delta.entries.empty() && !delta.isAsking)
         return std::nullopt;
@@ -191,7 +193,7 @@
     }
     const auto unsent = [this](const Base::CustomerId &customer) {
         const Account &account = m_accounts.at(customer);
-        return account.chargedHere - account.sent;
+        return account.chargedLocally - account.lastSent;
     };
     std::stable_sort(customers.begin(), customers.end(),
                      [&](const Base::CustomerId &a, const Base::CustomerId &b) {
@@ -203,15 +205,15 @@
     return customers;
 }
 
-void ServiceLedger::addRefreshed(std::vector<Base::CustomerId> &customers)
+void ServiceLedger::addRefreshEntries(std::vector<Base::CustomerId> &customers)
 {
     const std::set<Base::CustomerId> present(customers.begin(), customers.end());
     std::size_t added = 0;
     for (std::size_t i = 0; i < m_accounts.size() && added < m_policy.refreshEntries; ++i) {
-        auto it = m_accounts.upper_bound(m_refreshedTo);
+        auto it = m_accounts.upper_bound(m_refreshCursor);
         if (it == m_accounts.end())
             it = m_accounts.begin();
-        m_refreshedTo = it->first;
+        m_refreshCursor = it->first;
         if (isIdle(it->second) || present.count(it->first) > 0)
             continue;
         customers.push_back(it->first);
@@ -221,45 +223,45 @@
 
 LedgerDelta ServiceLedger::snapshot() const
 {
-    LedgerDelta delta = header();
+    LedgerDelta delta = makeHeader();
     delta.isFull = true;
     delta.isSnapshot = !m_isCold;
     delta.folded = foldedList();
     for (const auto &[customer, account] : m_accounts) {
-        if (account.position() <= m_lastFloor && isIdle(account))
+        if (account.position() <= m_highestFloor && isIdle(account))
             continue;
-        delta.entries.push_back(entryOf(customer, account, true));
-        std::uint32_t start = 0;
-        for (const auto &[origin, source] : m_sources) {
-            const auto seen = source.seen.find(customer);
-            if (seen != source.seen.end())
-                delta.entries.back().seen.push_back({start, seen->second});
-            ++start;
+        delta.entries.push_back(makeEntry(customer, account, true));
+        std::uint32_t startIndex = 0;
+        for (const auto &[origin, remote] : m_remoteStarts) {
+            const auto seen = remote.seen.find(customer);
+            if (seen != remote.seen.end())
+                delta.entries.back().seen.push_back({startIndex, seen->second});
+            ++startIndex;
         }
     }
-    for (const auto &[origin, source] : m_sources)
+    for (const auto &[origin, remote] : m_remoteStarts)
         delta.starts.push_back(origin);
     return delta;
 }
 
-LedgerDelta ServiceLedger::header() const
+LedgerDelta ServiceLedger::makeHeader() const
 {
     LedgerDelta delta;
     delta.sender = m_self.host;
     delta.incarnation = m_self.incarnation;
     delta.epoch = m_self.epoch;
     delta.pool = m_pool;
-    if (m_now - m_floorAt < floorShownFor)
-        delta.floor = m_floorNow;
+    if (m_now - m_localFloorAt < localFloorTimeout)
+        delta.floor = m_localFloor;
     return delta;
 }
 
-LedgerEntry ServiceLedger::entryOf(const Base::CustomerId &customer, const Account &account,
-                                   bool isFull) const
+LedgerEntry ServiceLedger::makeEntry(const Base::CustomerId &customer, const Account &account,
+                                     bool isFull) const
 {
     LedgerEntry entry;
     entry.customer = customer;
-    entry.charged = account.chargedHere;
+    entry.charged = account.chargedLocally;
     entry.lifted = account.lifted;
     entry.forgiven = account.forgiven;
     entry.round = account.round;
@@ -270,7 +272,7 @@
 
 bool ServiceLedger::isIdle(const Account &account) const
 {
-    return account.held == 0 && m_now - account.usedAt >= m_policy.idleAfter;
+    return account.held == 0 && m_now - account.usedAt >= m_policy.dropIdleAfter;
 }
 
 void ServiceLedger::advance(Base::TimePoint now)
@@ -278,7 +280,7 @@
     m_now = now;
     if (!m_startedAt)
         m_startedAt = now;
-    if (now - *m_startedAt >= m_policy.askFor)
+    if (now - *m_startedAt >= m_policy.snapshotRequestTimeout)
         m_isCold = false;
     if (now < m_nextSweep)
         return;
@@ -292,9 +294,9 @@
     for (auto it = m_accounts.begin(); it != m_accounts.end();) {
         const auto current = it++;
         Account &account = current->second;
-        if (!isIdle(account) || account.position() > m_lastFloor)
+        if (!isIdle(account) || account.position() > m_highestFloor)
             continue;
-        m_droppedRound = std::max(m_droppedRound, account.round);
+        m_maxDroppedRound = std::max(m_maxDroppedRound, account.round);
         clearCounters(current->first, account);
         m_changed.erase(current->first);
         m_accounts.erase(current);
--- a/src/libs/coordination/serviceledgermerge.cpp
+++ b/src/libs/coordination/serviceledgermerge.cpp
@@ -1,4 +1,4 @@
-// What a ServiceLedger takes from other routers, and when it closes their counters.
+// The part of ServiceLedger that merges other routers' deltas and folds their counters.
 
 #include "coordination/serviceledger.h"
 
@@ -10,63 +10,66 @@
 {
     const LedgerStart sender{delta.sender, delta.incarnation, delta.epoch};
     if (delta.pool != m_pool || sender == m_self)
-        return MergeResult::Taken;
-    // Even of a sender that is folded here: after a long partition both sides have folded each
-    // other, and only this list shows either that it must begin a new epoch.
-    takeFolded(delta.folded);
+        return MergeResult::Applied;
+    // The folded list is applied even if the sender itself is folded here: after a long partition
+    // both sides have folded each other, and only this list tells each that it must begin a new
+    // epoch.
+    applyFolded(delta.folded);
     const bool isSenderFolded = isFolded(sender);
     if (!isSenderFolded) {
-        Source &source = m_sources[sender];
-        source.heardAt = m_now;
-        source.floor = delta.floor;
+        RemoteStart &remote = m_remoteStarts[sender];
+        remote.heardAt = m_now;
+        remote.floor = delta.floor;
     }
-    m_lastFloor = std::max(m_lastFloor, delta.floor);
-    // What a folded sender has charged is not taken (see()), all else it says only grows.
+    m_highestFloor = std::max(m_highestFloor, delta.floor);
+    // recordRemoteCharge() ignores the charges of a folded sender. All its other numbers may be
+    // merged, because they only grow.
     for (const LedgerEntry &entry : delta.entries)
         mergeEntry(delta, entry, sender);
     foldSuperseded();
     if (delta.isSnapshot)
         m_isCold = false;
-    return isSenderFolded ? MergeResult::SenderIsFolded : MergeResult::Taken;
+    return isSenderFolded ? MergeResult::SenderIsFolded : MergeResult::Applied;
 }
 
 void ServiceLedger::mergeEntry(const LedgerDelta &delta, const LedgerEntry &entry,
                                const LedgerStart &sender)
 {
-    Account *account = accountFor(entry);
+    Account *account = accountInRound(entry);
     if (!account)
         return;
     account->lifted = std::max(account->lifted, entry.lifted);
     account->forgiven = std::max(account->forgiven, entry.forgiven);
-    // Both sums are lower bounds of what the folded starts charged, and takeFolded() has made
-    // both cover the same starts.
+    // Both sums are lower bounds of the folded starts' charges, and applyFolded() has made both
+    // cover the same starts, so the larger one is closer to the true sum.
     if (delta.isFull)
         account->settled = std::max(account->settled, entry.settled);
-    see(sender, entry.customer, *account, entry.charged);
+    recordRemoteCharge(sender, entry.customer, *account, entry.charged);
     for (const SeenCharge &seen : entry.seen) {
         if (seen.start < delta.starts.size())
-            see(delta.starts[seen.start], entry.customer, *account, seen.charged);
+            recordRemoteCharge(delta.starts[seen.start], entry.customer, *account, seen.charged);
     }
 }
 
-ServiceLedger::Account *ServiceLedger::accountFor(const LedgerEntry &entry)
+ServiceLedger::Account *ServiceLedger::accountInRound(const LedgerEntry &entry)
 {
     const auto [it, isNew] = m_accounts.try_emplace(entry.customer);
     Account &account = it->second;
     if (isNew) {
         account.usedAt = m_now;
         account.round = entry.round;
-        if (m_droppedRound == 0 || entry.round > m_droppedRound)
+        if (m_maxDroppedRound == 0 || entry.round > m_maxDroppedRound)
             return &account;
-        // Perhaps dropped here: the peers may know counters of ours in this round.
-        account.round = m_droppedRound + 1;
+        // The entry may have been dropped here, in which case peers still know this router's
+        // counters in that round. The customer enters a new round instead.
+        account.round = m_maxDroppedRound + 1;
         const Base::ServiceUnits sum = entry.lifted + entry.settled + entry.charged;
         account.lifted = sum - std::min(sum, entry.forgiven);
         m_changed.insert(entry.customer);
         return nullptr;
     }
     if (entry.round < account.round) {
-        // The sender has missed the newer round; the next delta tells it.
+        // The sender does not know the newer round yet; the next delta contains it.
         m_changed.insert(entry.customer);
         return nullptr;
     }
@@ -78,12 +81,13 @@
 void ServiceLedger::enterRound(const Base::CustomerId &customer, Account &account,
                                std::uint64_t round, Base::ServiceUnits lifted)
 {
-    // Who began the round may not have known the customer; a debt known here must outlive it.
-    const Base::ServiceUnits reached = account.shared();
+    // The router that began the round may not have known the customer, so the new round must
+    // not start below the position known here.
+    const Base::ServiceUnits oldPosition = account.replicatedPosition();
     clearCounters(customer, account);
     account.round = round;
-    account.lifted = std::max(lifted, reached);
-    if (reached > lifted)
+    account.lifted = std::max(lifted, oldPosition);
+    if (oldPosition > lifted)
         m_changed.insert(customer);
 }
 
@@ -91,25 +95,25 @@
 {
     account.forgiven = 0;
     account.settled = 0;
-    account.elsewhere = 0;
-    account.chargedHere = 0;
-    account.sent = 0;
-    for (auto &[start, source] : m_sources)
-        source.seen.erase(customer);
+    account.chargedRemotely = 0;
+    account.chargedLocally = 0;
+    account.lastSent = 0;
+    for (auto &[start, remote] : m_remoteStarts)
+        remote.seen.erase(customer);
 }
 
-void ServiceLedger::see(const LedgerStart &start, const Base::CustomerId &customer,
-                        Account &account, Base::ServiceUnits charged)
+void ServiceLedger::recordRemoteCharge(const LedgerStart &start, const Base::CustomerId &customer,
+                                       Account &account, Base::ServiceUnits charged)
 {
     if (start == m_self || charged == 0 || isFolded(start))
         return;
-    const auto [it, isNew] = m_sources.try_emplace(start);
+    const auto [it, isNew] = m_remoteStarts.try_emplace(start);
     if (isNew)
         it->second.heardAt = m_now;
     Base::ServiceUnits &seen = it->second.seen[customer];
     if (charged <= seen)
         return;
-    account.elsewhere += charged - seen;
+    account.chargedRemotely += charged - seen;
     account.usedAt = m_now;
     seen = charged;
 }
@@ -124,27 +128,27 @@
 {
     const auto known = m_folded.find(start.host);
     if (known == m_folded.end())
-        m_folded.emplace(start.host, Fold{start, at});
+        m_folded.emplace(start.host, FoldRecord{start, at});
     else if (known->second.start < start)
         known->second = {start, at};
-    auto it = m_sources.lower_bound(LedgerStart{start.host, 0, 0});
-    while (it != m_sources.end() && it->first <= start) {
+    auto it = m_remoteStarts.lower_bound(LedgerStart{start.host, 0, 0});
+    while (it != m_remoteStarts.end() && it->first <= start) {
         for (const auto &[customer, charged] : it->second.seen) {
             Account &account = m_accounts.at(customer);
-            account.elsewhere -= charged;
+            account.chargedRemotely -= charged;
             account.settled += charged;
         }
-        it = m_sources.erase(it);
+        it = m_remoteStarts.erase(it);
     }
 }
 
 void ServiceLedger::foldSuperseded()
 {
     std::vector<LedgerStart> superseded;
-    for (auto it = m_sources.begin(); it != m_sources.end(); ++it) {
+    for (auto it = m_remoteStarts.begin(); it != m_remoteStarts.end(); ++it) {
         const auto next = std::next(it);
         const bool isOwn = it->first.host == m_self.host && it->first < m_self;
-        if (isOwn || (next != m_sources.end() && next->first.host == it->first.host))
+        if (isOwn || (next != m_remoteStarts.end() && next->first.host == it->first.host))
             superseded.push_back(it->first);
     }
     for (const LedgerStart &start : superseded)
@@ -154,25 +158,26 @@
 void ServiceLedger::foldSilent()
 {
     std::vector<LedgerStart> silent;
-    for (const auto &[start, source] : m_sources) {
-        if (m_now - source.heardAt >= m_policy.foldAfter)
+    for (const auto &[start, remote] : m_remoteStarts) {
+        if (m_now - remote.heardAt >= m_policy.foldAfter)
             silent.push_back(start);
     }
     for (const LedgerStart &start : silent)
         fold(start, m_now);
     std::erase_if(m_folded, [this](const auto &known) {
-        return m_now - known.second.at >= m_policy.foldedLife;
+        return m_now - known.second.at >= m_policy.foldedRetention;
     });
 }
 
-void ServiceLedger::takeFolded(const std::vector<FoldedStart> &folded)
+void ServiceLedger::applyFolded(const std::vector<FoldedStart> &folded)
 {
     for (const FoldedStart &known : folded) {
         if (isFolded(known.start))
             continue;
         if (known.start.host == m_self.host && known.start >= m_self)
             beginEpochAfter(known.start);
-        // The age travels along, so that peers do not keep it alive by telling each other.
+        // The age is part of the message, so that routers do not renew a fold for each other
+        // and it expires.
         fold(known.start, m_now - known.age);
     }
 }
@@ -180,9 +185,9 @@
 void ServiceLedger::beginEpochAfter(const LedgerStart &folded)
 {
     for (auto &[customer, account] : m_accounts) {
-        account.settled += account.chargedHere;
-        account.chargedHere = 0;
-        account.sent = 0;
+        account.settled += account.chargedLocally;
+        account.chargedLocally = 0;
+        account.lastSent = 0;
     }
     m_self.epoch = folded.epoch + 1;
 }
