--- a/tests/auto/coordination/tst_serviceledger.cpp
+++ b/tests/auto/coordination/tst_serviceledger.cpp
@@ -25,12 +25,13 @@
 {
     LedgerPolicy policy;
     policy.foldAfter = 20s;
-    policy.foldedLife = 1000s;
+    policy.foldedRetention = 1000s;
     auto ledger = ServiceLedger::create(policy, Base::HostId(host), incarnation, pool);
     return std::make_unique<ServiceLedger>(std::move(*ledger));
 }
 
-/// A few homes of one pool, and a network that loses, doubles, delays and reorders.
+/// Several home routers of one pool and a network that loses, duplicates, delays and reorders
+/// messages.
 class Fleet
 {
 public:
@@ -69,7 +70,7 @@
             broadcast(to, ledgers[to]->snapshot());
     }
 
-    /// Each router's books reach every other, twice over.
+    /// Delivers each router's snapshot to all others, in three rounds.
     void exchangeAll()
     {
         network.clear();
@@ -83,7 +84,7 @@
         }
     }
 
-    void pass(Base::Duration time)
+    void advanceAll(Base::Duration time)
     {
         now += time;
         for (auto &ledger : ledgers)
@@ -98,17 +99,17 @@
     Base::Incarnation m_incarnation = 0;
 };
 
-/// One random step of the fleet; charges are added to \a truth.
-void step(Fleet &fleet, std::vector<Base::ServiceUnits> &truth)
+/// Runs one random step of the fleet and adds its charges to \a charged.
+void step(Fleet &fleet, std::vector<Base::ServiceUnits> &charged)
 {
     const auto at = *rc::gen::inRange<std::size_t>(0, fleet.ledgers.size());
-    const auto who = *rc::gen::inRange<std::size_t>(0, customerCount);
+    const auto id = *rc::gen::inRange<std::size_t>(0, customerCount);
     switch (*rc::gen::inRange(0, 12)) {
     case 0:
         fleet.restart(at);
         break;
     case 1:
-        fleet.pass(std::chrono::seconds(*rc::gen::inRange(1, 30)));
+        fleet.advanceAll(std::chrono::seconds(*rc::gen::inRange(1, 30)));
         break;
     case 2:
         fleet.broadcast(at, fleet.ledgers[at]->snapshot());
@@ -130,68 +131,68 @@
         break;
     default: {
         const auto units = *rc::gen::inRange<Base::ServiceUnits>(1, 500);
-        fleet.ledgers[at]->charge(customer(who), units);
-        truth[who] += units;
+        fleet.ledgers[at]->charge(customer(id), units);
+        charged[id] += units;
     }
     }
 }
 
 } // namespace
 
-// Two dealers compete. A home router dies, its counts are folded into its peers' sums, and an
-// old message of it comes late, or it was only cut off and comes back. Were its counts added
-// again, one dealer would be held back for service it never received.
+// Guards against counting a charge twice: a home router dies or is cut off, its peers fold its
+// counters, and then a delayed message from it arrives or the router returns. A customer charged
+// twice would be held back for service that it never received.
 TEST_CASE("no charge is counted twice, whatever happens to messages and routers", "[ledger]")
 {
     rc::prop("positions never exceed what was charged, and agree after an exchange", [] {
         Fleet fleet(3);
-        std::vector<Base::ServiceUnits> truth(customerCount, 0);
+        std::vector<Base::ServiceUnits> charged(customerCount, 0);
         const int steps = *rc::gen::inRange(1, 80);
         for (int i = 0; i < steps; ++i) {
-            step(fleet, truth);
-            for (std::size_t who = 0; who < customerCount; ++who) {
+            step(fleet, charged);
+            for (std::size_t id = 0; id < customerCount; ++id) {
                 for (const auto &ledger : fleet.ledgers)
-                    RC_ASSERT(ledger->position(customer(who)) <= truth[who]);
+                    RC_ASSERT(ledger->position(customer(id)) <= charged[id]);
             }
         }
         fleet.exchangeAll();
-        for (std::size_t who = 0; who < customerCount; ++who) {
-            const Base::ServiceUnits first = fleet.ledgers[0]->position(customer(who));
-            RC_ASSERT(first <= truth[who]);
+        for (std::size_t id = 0; id < customerCount; ++id) {
+            const Base::ServiceUnits first = fleet.ledgers[0]->position(customer(id));
+            RC_ASSERT(first <= charged[id]);
             for (const auto &ledger : fleet.ledgers)
-                RC_ASSERT(ledger->position(customer(who)) == first);
+                RC_ASSERT(ledger->position(customer(id)) == first);
         }
     });
 }
 
-// Without loss of routers nothing may be missing either: what was charged anywhere is seen
-// everywhere after one exchange, though deltas were lost, doubled and reordered before.
+// Guards against lost charges: while no router is lost, every charge is known at every router
+// after an exchange, even if earlier deltas were lost, duplicated or reordered.
 TEST_CASE("all that live routers charged is seen everywhere after an exchange", "[ledger]")
 {
-    rc::prop("positions equal the truth", [] {
+    rc::prop("positions equal the charges", [] {
         Fleet fleet(3);
-        std::vector<Base::ServiceUnits> truth(customerCount, 0);
+        std::vector<Base::ServiceUnits> charged(customerCount, 0);
         const auto charges = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
             rc::gen::tuple(rc::gen::inRange(0, 3), rc::gen::inRange(0, int(customerCount)),
                            rc::gen::inRange(1, 900)));
-        for (const auto &[at, who, units] : charges) {
-            fleet.ledgers[at]->charge(customer(who), units);
-            truth[who] += units;
+        for (const auto &[at, id, units] : charges) {
+            fleet.ledgers[at]->charge(customer(id), units);
+            charged[id] += units;
             if (units % 2 == 0)
                 fleet.send(at);
             if (units % 3 == 0 && !fleet.network.empty())
                 fleet.deliver(units % fleet.network.size());
         }
         fleet.exchangeAll();
-        for (std::size_t who = 0; who < customerCount; ++who) {
+        for (std::size_t id = 0; id < customerCount; ++id) {
             for (const auto &ledger : fleet.ledgers)
-                RC_ASSERT(ledger->position(customer(who)) == truth[who]);
+                RC_ASSERT(ledger->position(customer(id)) == charged[id]);
         }
     });
 }
 
-// A university that asked for nothing for an hour comes back beside one that worked all the
-// time. With its old low count it would get the whole pool until it had caught up.
+// Guards against a returning customer that takes the whole pool: with the low position from
+// before its idle time it would be served alone until it had caught up with the others.
 TEST_CASE("a customer that comes back starts at the floor, dropped or not", "[ledger]")
 {
     const bool isDropped = GENERATE(false, true);
@@ -203,19 +204,20 @@
     home.clampDebts({customer(1)});
     fleet.exchangeAll();
     if (isDropped) {
-        fleet.pass(11min);
+        fleet.advanceAll(11min);
         REQUIRE(home.customers() < 2);
     }
     home.becomeBacklogged(customer(0), {customer(1)});
     CHECK(home.position(customer(0)) == home.position(customer(1)));
     home.charge(customer(0), 70);
     fleet.exchangeAll();
-    // The peer, which kept the old entry or dropped it too, sees the new charge once.
+    // The peer counts the new charge once, whether it kept the old entry or dropped it as well.
     CHECK(fleet.ledgers[1]->position(customer(0)) == 50070);
 }
 
-// A home drops an idle dealer and takes it in again at a lower level, while its peer has kept
-// the old entry. Were the new count taken for a part of the old one, it would vanish.
+// Guards against a lost charge: a home drops an idle customer and adds it again at a lower
+// position while its peer has kept the old entry. If the peer took the new, smaller counter for
+// an old value of the same counter, the charge would be lost.
 TEST_CASE("counts after a dropped entry's return are not taken for old ones", "[ledger]")
 {
     Fleet fleet(2);
@@ -243,9 +245,10 @@
         CHECK(ledger->position(customer(0)) == 50500 + 270);
 }
 
-// Two zones lose each other for an hour; a dealer is served in one of them only. On rejoin its
-// count is hours ahead: without forgiveness it would wait until all others have caught up.
-TEST_CASE("the debt of a rejoin is clamped, at both sides, once", "[ledger]")
+// Guards against starvation after a partition: two zones are disconnected for an hour and one
+// customer is served in one of them only. After the rejoin its position is far ahead; without
+// forgiveness it would wait until all others had caught up.
+TEST_CASE("the debt after a rejoin is clamped once, at both sides", "[ledger]")
 {
     Fleet fleet(2);
     const std::vector<Base::CustomerId> both{customer(0), customer(1)};
@@ -257,12 +260,13 @@
     fleet.exchangeAll();
     for (auto &ledger : fleet.ledgers) {
         CHECK(ledger->position(customer(1)) == 1000);
-        CHECK(ledger->position(customer(0)) == 1000 + LedgerPolicy().largestDebt);
+        CHECK(ledger->position(customer(0)) == 1000 + LedgerPolicy().maxDebt);
     }
 }
 
-// A takeover with an empty queue must know where the others' customers are by now.
-TEST_CASE("a newcomer at a home where nobody waits starts at the floor of the others", "[ledger]")
+// A router that takes over a home with an empty queue must know the floor of its peers, or a
+// new customer would start too low.
+TEST_CASE("a new customer at a home where nobody waits starts at the peers' floor", "[ledger]")
 {
     Fleet fleet(2);
     ServiceLedger &crowded = *fleet.ledgers[0];
@@ -274,17 +278,18 @@
     fleet.deliver(0);
     fleet.ledgers[1]->becomeBacklogged(customer(2), {});
     CHECK(fleet.ledgers[1]->position(customer(2)) == 80000);
-    fleet.pass(2s);
+    fleet.advanceAll(2s);
     crowded.charge(customer(0), 1);
     CHECK(crowded.takeDelta()->floor == 0);
 }
 
-// A home takes a shard over just after its start and would see all customers at zero.
-TEST_CASE("a cold ledger asks and takes a peer's books, then later deltas of third routers",
+// A router that takes a shard over right after its start would otherwise see all customers at
+// position zero.
+TEST_CASE("a cold ledger requests and merges a peer's snapshot, then deltas of third routers",
           "[ledger]")
 {
     Fleet fleet(3);
-    fleet.pass(21s);
+    fleet.advanceAll(21s);
     fleet.ledgers[0]->charge(customer(0), 400);
     fleet.ledgers[1]->charge(customer(0), 300);
     fleet.exchangeAll();
@@ -300,7 +305,8 @@
     CHECK(fleet.ledgers[2]->position(customer(0)) == 750);
 }
 
-// 2,600 restarts a day: each leaves a start behind whose counters nobody sends any more.
+// There are 2,600 restarts a day, and each leaves a start behind whose counters nobody sends any
+// more. Without folding the ledger would grow with each of them.
 TEST_CASE("counters of dead starts are folded and forgotten in time", "[ledger]")
 {
     Fleet fleet(3);
@@ -315,15 +321,16 @@
     CHECK(fleet.ledgers[0]->position(customer(0)) == 5000);
     CHECK(fleet.ledgers[0]->liveStarts() == 1);
     CHECK(fleet.ledgers[0]->foldedStarts() == 1);
-    fleet.pass(30s);
+    fleet.advanceAll(30s);
     CHECK(fleet.ledgers[0]->liveStarts() == 0);
     CHECK(fleet.ledgers[0]->position(customer(0)) == 5000);
-    fleet.pass(1100s);
+    fleet.advanceAll(1100s);
     CHECK(fleet.ledgers[0]->foldedStarts() == 0);
 }
 
-// A large dealer has work at every home, the others at one each. Homes that are fair on their
-// own give the large one a share at each; with the exchange it gets one share in all.
+// Guards against a customer that gets one share per home: a large customer has work at every
+// home, each other customer at one home only. With the exchange the large customer gets one
+// share of the whole pool.
 TEST_CASE("stale views add at most interval x rate to the gap, however long it lasts", "[ledger]")
 {
     rc::prop("gap of service between two backlogged customers", [] {
@@ -331,23 +338,23 @@
         const int interval = *rc::gen::inRange(1, 20);
         const auto charge = *rc::gen::inRange<Base::ServiceUnits>(10, 400);
         Fleet fleet(homes);
-        std::vector<Base::ServiceUnits> truth(homes + 1, 0);
+        std::vector<Base::ServiceUnits> charged(homes + 1, 0);
         Base::ServiceUnits bound = charge * homes * static_cast<Base::ServiceUnits>(interval + 1);
         for (int tick = 0; tick < 400; ++tick) {
             for (std::size_t home = 0; home < homes; ++home) {
                 const bool isLarge = fleet.ledgers[home]->position(customer(0))
                                      <= fleet.ledgers[home]->position(customer(home + 1));
-                const std::size_t who = isLarge ? 0 : home + 1;
-                fleet.ledgers[home]->charge(customer(who), charge);
-                truth[who] += charge;
+                const std::size_t id = isLarge ? 0 : home + 1;
+                fleet.ledgers[home]->charge(customer(id), charge);
+                charged[id] += charge;
             }
             for (std::size_t home = 0; tick % interval == 0 && home < homes; ++home)
                 fleet.send(home);
             for (; !fleet.network.empty(); fleet.network.pop_front())
                 fleet.deliver(0);
-            // The large customer against each other one; those share no home among themselves.
-            for (std::size_t who = 1; who <= homes; ++who) {
-                RC_ASSERT(truth[0] <= truth[who] + bound);
+            // The large customer is compared with each other one; the others share no home.
+            for (std::size_t id = 1; id <= homes; ++id) {
+                RC_ASSERT(charged[0] <= charged[id] + bound);
             }
         }
     });
