--- a/src/libs/coordination/heartbeat.h
+++ b/src/libs/coordination/heartbeat.h
@@ -12,7 +12,8 @@
 
 enum class MemberState { Live, Leaving };
 
-/// "Every start of \a name up to \a incarnation is leaving."
+/// States that every start of the host \a name up to \a incarnation is leaving. The host is a
+/// router or a backend server.
 struct LeavingMark
 {
     std::string name;
@@ -21,21 +22,22 @@
     bool operator==(const LeavingMark &) const = default;
 };
 
-/// What a home router says of one pool shard that it holds.
+/// Load of one pool shard, as reported by its home: the router that grants permits for the
+/// shard's servers.
 struct PoolSummary
 {
     Base::PoolId pool;
     std::uint32_t shard = 0;
     std::uint32_t waiting = 0;
     std::uint32_t freePermits = 0;
-    /// Permits given back a second, smoothed.
+    /// Permits returned per second, smoothed.
     double drainRate = 0;
 
     bool operator==(const PoolSummary &) const = default;
 };
 
-/// Sent by every router to every other router of its region. Most are minimal: what has not
-/// changed is left out, and a full one comes every few seconds and whenever somebody needs it.
+/// Message that every router sends to every other router of its region. Most heartbeats omit
+/// what has not changed; a full one is sent every few seconds and whenever a receiver needs it.
 struct Heartbeat
 {
     Base::HostId host;
@@ -43,14 +45,15 @@
     std::uint64_t sequence = 0;
     MemberState state = MemberState::Live;
     Settings::ConfigurationVersion configurationVersion = 0;
-    /// All marks if isFull, else only young ones.
+    /// All marks in force if isFull, otherwise only a few recent ones.
     std::vector<LeavingMark> leaving;
-    /// All pool shards held if isFull, else only those whose numbers have moved.
+    /// All pool shards of the sender if isFull, otherwise only those with changed numbers.
     std::vector<PoolSummary> pools;
     bool isFull = false;
-    /// After how long the sender sends the next one.
+    /// Time until the sender's next heartbeat.
     Base::Milliseconds interval{0};
-    /// Only where isFull; a receiver whose list does not have the sender learns it from these.
+    /// The zone and the addresses are set only if isFull. A receiver whose list lacks the sender
+    /// learns them from here.
     Base::ZoneId zone;
     std::string peerAddress;
     std::string callerAddress;
