--- a/src/libs/coordination/leavingmarks.cpp
+++ b/src/libs/coordination/leavingmarks.cpp
@@ -14,7 +14,7 @@
     if (!isNew && incarnation <= it->second.incarnation)
         return false;
     it->second = {incarnation, 0, std::nullopt};
-    if (m_marks.size() > m_policy.largestCount)
+    if (m_marks.size() > m_policy.maxCount)
         dropOldest();
     return true;
 }
@@ -38,7 +38,7 @@
 {
     std::erase_if(m_marks, [&](const auto &entry) {
         const Mark &mark = entry.second;
-        return mark.obsoleteSince && now - *mark.obsoleteSince >= m_policy.keepObsolete;
+        return mark.obsoleteSince && now - *mark.obsoleteSince >= m_policy.obsoleteRetention;
     });
 }
 
@@ -48,21 +48,22 @@
     return it != m_marks.end() && incarnation <= it->second.incarnation;
 }
 
-std::vector<LeavingMark> LeavingMarks::takeTold(bool isFull)
+std::vector<LeavingMark> LeavingMarks::takeForHeartbeat(bool isFull)
 {
-    std::vector<std::map<std::string, Mark>::iterator> told;
+    std::vector<std::map<std::string, Mark>::iterator> selected;
     for (auto it = m_marks.begin(); it != m_marks.end(); ++it) {
-        const bool isYoung = it->second.told < m_policy.youngTells;
-        if (isYoung || (isFull && !it->second.obsoleteSince))
-            told.push_back(it);
+        const bool isFresh = it->second.sendCount < m_policy.freshSendCount;
+        if (isFresh || (isFull && !it->second.obsoleteSince))
+            selected.push_back(it);
     }
-    std::stable_sort(told.begin(), told.end(),
-                     [](const auto &a, const auto &b) { return a->second.told < b->second.told; });
-    if (!isFull && told.size() > m_policy.largestTold)
-        told.resize(m_policy.largestTold);
+    std::stable_sort(selected.begin(), selected.end(), [](const auto &a, const auto &b) {
+        return a->second.sendCount < b->second.sendCount;
+    });
+    if (!isFull && selected.size() > m_policy.maxFreshPerHeartbeat)
+        selected.resize(m_policy.maxFreshPerHeartbeat);
     std::vector<LeavingMark> marks;
-    for (const auto &it : told) {
-        ++it->second.told;
+    for (const auto &it : selected) {
+        ++it->second.sendCount;
         marks.push_back({it->first, it->second.incarnation});
     }
     return marks;
--- a/src/libs/coordination/leavingmarks.h
+++ b/src/libs/coordination/leavingmarks.h
@@ -14,53 +14,60 @@
 
 namespace Coordination {
 
+/// Limits of LeavingMarks.
 struct LeavingPolicy
 {
-    /// A mark is young until it was told in this many heartbeats, of which two in a row may be
-    /// lost; then it is told in full ones only.
-    std::uint32_t youngTells = 5;
-    /// Young marks in one heartbeat, the least told first. A rack of thirty that leaves at once
-    /// would else take 68 KB a second.
-    std::size_t largestTold = 4;
-    /// How long a mark is kept once the platform's list has moved past it. Longer than any
-    /// partition after which a stale list could come back.
-    Base::Duration keepObsolete = std::chrono::hours(24);
-    /// More than a region's hosts can need in keepObsolete; the oldest obsolete mark goes first.
-    std::size_t largestCount = 4096;
+    /// A mark is fresh until it was sent in this many heartbeats, of which two in a row may be
+    /// lost. After that only full heartbeats contain it.
+    std::uint32_t freshSendCount = 5;
+    /// Largest number of fresh marks in a heartbeat that is not full; those sent least often go
+    /// first. Without the limit a rack of thirty hosts that leaves at once would take 68 KB/s.
+    std::size_t maxFreshPerHeartbeat = 4;
+    /// How long a mark is kept after the platform's list has ceased to contain a start that it
+    /// covers. It is longer than any partition after which a stale list could reappear.
+    Base::Duration obsoleteRetention = std::chrono::hours(24);
+    /// Largest number of marks, which is more than the hosts of a region need during
+    /// obsoleteRetention. Above it the mark that has been obsolete longest is dropped.
+    std::size_t maxCount = 4096;
 };
 
-/// Which starts of which hosts (routers and backend servers) are leaving.
+/// The set of starts of hosts (routers and backend servers) that are leaving.
 ///
-/// Failure it stops: a host that leaves gets new work again because a list flaps, an old list
-/// comes late, or a peer that was cut off still calls it live. It shows as work cut off when
-/// the host goes. The guard holds because a mark for a start is never taken back, only dropped
-/// when the list has shown for a day that the start is over; and because a mark whose start is
-/// over is no longer told to others, two routers cannot keep it alive between them.
+/// It prevents a leaving host from getting new work, which would be cut off when the host goes,
+/// because the platform's list flaps, an old list arrives late or a peer that was disconnected
+/// still reports the host as live. A mark is therefore never revoked; it is dropped only after
+/// the list has shown for obsoleteRetention that the start is over. Obsolete marks are no longer
+/// sent in full heartbeats, so that two routers cannot renew a mark for each other forever.
 class LeavingMarks
 {
 public:
     explicit LeavingMarks(const LeavingPolicy &policy = {});
 
-    /// Returns whether this was new.
+    /// Marks the starts of \a name up to \a incarnation as leaving. Returns whether this is new.
     bool add(const std::string &name, Base::Incarnation incarnation);
-    /// Notes which marks the platform's newest list still needs.
+    /// Updates which marks are obsolete: those that cover no start in the platform's newest list.
     void reconcile(const Storage::HostListing &listing, Base::TimePoint now);
+    /// Drops the marks that have been obsolete for LeavingPolicy::obsoleteRetention.
     void advance(Base::TimePoint now);
 
+    /// Whether this start of the host is leaving.
     bool covers(const std::string &name, Base::Incarnation incarnation) const;
-    /// Marks to tell others in the next heartbeat: all that are in force, or a few young ones.
-    std::vector<LeavingMark> takeTold(bool isFull);
+    /// Returns the marks for the next heartbeat and counts them as sent: all that are fresh or in
+    /// force if \a isFull, otherwise a few fresh ones.
+    std::vector<LeavingMark> takeForHeartbeat(bool isFull);
     std::size_t size() const { return m_marks.size(); }
 
 private:
     struct Mark
     {
         Base::Incarnation incarnation = 0;
-        std::uint32_t told = 0;
-        /// Since when the list has had no start that the mark covers.
+        /// Number of heartbeats that have contained the mark.
+        std::uint32_t sendCount = 0;
+        /// Time since which the list has contained no start that the mark covers.
         std::optional<Base::TimePoint> obsoleteSince;
     };
 
+    /// Drops the mark that has been obsolete longest, if any is obsolete.
     void dropOldest();
 
     LeavingPolicy m_policy;
--- a/src/libs/coordination/membership.cpp
+++ b/src/libs/coordination/membership.cpp
@@ -8,26 +8,28 @@
 
 namespace {
 
-const Base::PoolId pollerDuty("duty/configuration");
+/// Key of the rendezvous hash that elects a zone's poller. It is no pool of servers.
+const Base::PoolId pollerElection("duty/configuration");
 
-bool isSpare(const PoolSummary &pool)
+bool hasSparePermits(const PoolSummary &pool)
 {
     return pool.freePermits > 0 && pool.waiting == 0;
 }
 
-/// Whether neither is more than twice the other, nor only one of them zero.
-bool isNear(double a, double b)
+/// Whether neither value is more than twice the other. Zero is only within range of zero.
+bool isWithinFactorTwo(double a, double b)
 {
     return std::max(a, b) <= 2 * std::min(a, b);
 }
 
-bool isNear(const PoolSummary &a, const PoolSummary &b)
+bool isWithinFactorTwo(const PoolSummary &a, const PoolSummary &b)
 {
-    return isNear(a.waiting, b.waiting) && isNear(a.freePermits, b.freePermits)
-           && isNear(a.drainRate, b.drainRate);
+    return isWithinFactorTwo(a.waiting, b.waiting)
+           && isWithinFactorTwo(a.freePermits, b.freePermits)
+           && isWithinFactorTwo(a.drainRate, b.drainRate);
 }
 
-void put(std::vector<PoolSummary> &pools, const PoolSummary &summary)
+void replaceOrAdd(std::vector<PoolSummary> &pools, const PoolSummary &summary)
 {
     std::erase_if(pools, [&](const PoolSummary &pool) {
         return pool.pool == summary.pool && pool.shard == summary.shard;
@@ -41,8 +43,8 @@
                                             const MembershipSelf &self)
 {
     const bool isValid = policy.heartbeatInterval > Base::Duration::zero()
-                         && policy.suspectAfter > policy.heartbeatInterval
-                         && policy.largestStretch >= 1 && policy.fullEvery > 0;
+                         && policy.suspectAfter > policy.heartbeatInterval && policy.maxStretch >= 1
+                         && policy.fullEvery > 0;
     if (!isValid)
         return boost::leaf::new_error(InvalidMembershipPolicy{});
     return Membership(policy, self);
@@ -56,7 +58,7 @@
 
 void Membership::seed(const Storage::HostListing &listing, Base::TimePoint now)
 {
-    // Leaving holds for good, so it is taken from an old list as well.
+    // A start that is leaving never becomes live again, so that marks of an old list are valid.
     for (const Storage::ListedHost &listed : listing.hosts) {
         if (listed.state == Storage::HostState::Leaving)
             markLeaving(listed.name, listed.incarnation);
@@ -77,7 +79,7 @@
 {
     Member &member = m_others[Base::HostId(listed.name)];
     member.isListed = true;
-    // A heartbeat of a later start knows its addresses better than a list that lags.
+    // The addresses from a heartbeat of a later start are newer than those in the list.
     if (member.incarnation > listed.incarnation && !member.peerAddress.empty())
         return;
     member.host = Base::HostId(listed.name);
@@ -94,12 +96,12 @@
         markLeaving(mark.name, mark.incarnation);
     if (heartbeat.state == MemberState::Leaving)
         markLeaving(heartbeat.host.value(), heartbeat.incarnation);
-    Member *member = learn(heartbeat);
+    Member *member = findOrAdd(heartbeat);
     if (!member)
         return;
     if (heartbeat.incarnation > member->incarnation)
-        begin(*member, heartbeat);
-    // A late or doubled heartbeat says nothing of now.
+        resetForNewStart(*member, heartbeat);
+    // A delayed or duplicated heartbeat does not prove that the member is alive now.
     const bool isOld = member->sequence != 0 && heartbeat.sequence <= member->sequence;
     if (heartbeat.incarnation < member->incarnation || isOld)
         return;
@@ -112,19 +114,19 @@
     if (member->state != state)
         ++m_viewVersion;
     member->state = state;
-    takePools(*member, heartbeat);
-    takeLife(*member, now);
+    applyPools(*member, heartbeat);
+    recordHeard(*member, now);
 }
 
-Member *Membership::learn(const Heartbeat &heartbeat)
+Member *Membership::findOrAdd(const Heartbeat &heartbeat)
 {
     const auto it = m_others.find(heartbeat.host);
-    const bool isTelling = heartbeat.isFull && !heartbeat.peerAddress.empty();
-    if (it == m_others.end() && !isTelling)
+    const bool hasAddresses = heartbeat.isFull && !heartbeat.peerAddress.empty();
+    if (it == m_others.end() && !hasAddresses)
         return nullptr;
     Member &member = m_others[heartbeat.host];
     member.host = heartbeat.host;
-    if (!isTelling || heartbeat.incarnation < member.incarnation)
+    if (!hasAddresses || heartbeat.incarnation < member.incarnation)
         return &member;
     member.zone = heartbeat.zone;
     member.peerAddress = heartbeat.peerAddress;
@@ -132,58 +134,59 @@
     return &member;
 }
 
-void Membership::begin(Member &member, const Heartbeat &heartbeat)
+void Membership::resetForNewStart(Member &member, const Heartbeat &heartbeat)
 {
     member.incarnation = heartbeat.incarnation;
     member.sequence = 0;
     member.configurationVersion = 0;
     member.pools.clear();
     ++m_viewVersion;
-    // It starts with nothing: it must hear the marks at once.
+    // The new start knows no leaving marks yet and needs all of them at once.
     m_isFullDue = true;
 }
 
-void Membership::takePools(Member &member, const Heartbeat &heartbeat)
+void Membership::applyPools(Member &member, const Heartbeat &heartbeat)
 {
     if (heartbeat.isFull) {
         member.pools = heartbeat.pools;
         return;
     }
     for (const PoolSummary &summary : heartbeat.pools)
-        put(member.pools, summary);
+        replaceOrAdd(member.pools, summary);
 }
 
-void Membership::takeLife(Member &member, Base::TimePoint now)
+void Membership::recordHeard(Member &member, Base::TimePoint now)
 {
-    if (!member.isAlive && now - member.heardAt >= patience(member))
+    if (!member.isAlive && now - member.heardAt >= suspectTimeout(member))
         member.steadySince = now;
     member.heardAt = now;
     if (member.isAlive)
         return;
     if (now - member.lostAt >= m_policy.flapWindow)
         member.losses = 0;
-    if (now - member.steadySince < holdFor(member))
+    if (now - member.steadySince < holdDownTime(member))
         return;
     member.isAlive = true;
     m_isFullDue = true;
     ++m_viewVersion;
 }
 
-Base::Duration Membership::holdFor(const Member &member) const
+Base::Duration Membership::holdDownTime(const Member &member) const
 {
     if (member.losses < 2)
         return Base::Duration::zero();
-    return std::min<Base::Duration>(member.losses * m_policy.flapHold, m_policy.flapHoldLargest);
+    return std::min<Base::Duration>(member.losses * m_policy.holdDownStep, m_policy.maxHoldDown);
 }
 
-Base::Duration Membership::patience(const Member &member) const
+Base::Duration Membership::suspectTimeout(const Member &member) const
 {
-    const Base::Duration longer = member.interval - m_policy.heartbeatInterval;
-    const auto missed = m_policy.suspectAfter / m_policy.heartbeatInterval;
-    return m_policy.suspectAfter + std::max(longer, Base::Duration::zero()) * missed;
+    const Base::Duration extraInterval = member.interval - m_policy.heartbeatInterval;
+    const auto missedHeartbeats = m_policy.suspectAfter / m_policy.heartbeatInterval;
+    return m_policy.suspectAfter
+           + std::max(extraInterval, Base::Duration::zero()) * missedHeartbeats;
 }
 
-void Membership::lose(Member &member, Base::TimePoint now)
+void Membership::markLost(Member &member, Base::TimePoint now)
 {
     member.isAlive = false;
     if (now - member.lostAt >= m_policy.flapWindow)
@@ -198,23 +201,24 @@
 {
     const auto it = m_others.find(host);
     if (it != m_others.end() && it->second.isAlive)
-        lose(it->second, now);
+        markLost(it->second, now);
 }
 
 void Membership::advance(Base::TimePoint now)
 {
-    // This process was paused, not all others at once: what they sent meanwhile is still in
-    // its sockets. Without this a router that wakes would take every shard for its own.
+    // After a long gap this process was paused rather than all others dead; their heartbeats are
+    // still in its sockets. Without this check a router that resumes would regard itself as the
+    // home of every shard.
     const Base::Duration pause = now - m_lastAdvance;
-    const bool isWaking = m_lastAdvance != Base::TimePoint{} && pause >= m_policy.suspectAfter;
+    const bool wasPaused = m_lastAdvance != Base::TimePoint{} && pause >= m_policy.suspectAfter;
     m_lastAdvance = now;
     m_marks.advance(now);
     for (auto it = m_others.begin(); it != m_others.end();) {
         Member &member = it->second;
-        if (isWaking && member.isAlive)
+        if (wasPaused && member.isAlive)
             member.heardAt += pause;
-        if (member.isAlive && now - member.heardAt >= patience(member))
-            lose(member, now);
+        if (member.isAlive && now - member.heardAt >= suspectTimeout(member))
+            markLost(member, now);
         const bool isGone =
             !member.isAlive && !member.isListed && now - member.heardAt >= m_policy.forgetAfter;
         it = isGone ? m_others.erase(it) : std::next(it);
@@ -243,7 +247,7 @@
     heartbeat.sequence = ++m_sequence;
     heartbeat.state = m_isSelfLeaving ? MemberState::Leaving : MemberState::Live;
     heartbeat.isFull = m_isFullDue || m_sequence % m_policy.fullEvery == 0;
-    heartbeat.leaving = m_marks.takeTold(heartbeat.isFull);
+    heartbeat.leaving = m_marks.takeForHeartbeat(heartbeat.isFull);
     heartbeat.interval = interval;
     m_isFullDue = false;
     if (!heartbeat.isFull)
@@ -258,26 +262,26 @@
 {
     if (!heartbeat.isFull) {
         std::erase_if(heartbeat.pools,
-                      [this](const PoolSummary &summary) { return !isNews(summary); });
+                      [this](const PoolSummary &summary) { return !isWorthSending(summary); });
     }
     for (const PoolSummary &summary : heartbeat.pools)
-        m_toldPools[{summary.pool, summary.shard}] = {summary, m_sentAt};
+        m_sentPools[{summary.pool, summary.shard}] = {summary, m_sentAt};
 }
 
-bool Membership::isNews(const PoolSummary &summary) const
+bool Membership::isWorthSending(const PoolSummary &summary) const
 {
-    const auto told = m_toldPools.find({summary.pool, summary.shard});
-    if (told == m_toldPools.end())
+    const auto lastSent = m_sentPools.find({summary.pool, summary.shard});
+    if (lastSent == m_sentPools.end())
         return true;
-    if (isSpare(summary) && !isSpare(told->second.summary))
+    if (hasSparePermits(summary) && !hasSparePermits(lastSent->second.summary))
         return true;
-    return m_sentAt - told->second.at >= m_policy.poolInterval
-           && !isNear(told->second.summary, summary);
+    return m_sentAt - lastSent->second.at >= m_policy.poolUpdateInterval
+           && !isWithinFactorTwo(lastSent->second.summary, summary);
 }
 
 void Membership::setStretch(double stretch)
 {
-    m_stretch = std::clamp(stretch, 1.0, m_policy.largestStretch);
+    m_stretch = std::clamp(stretch, 1.0, m_policy.maxStretch);
 }
 
 bool Membership::isAlive(const Base::HostId &host) const
@@ -315,7 +319,7 @@
         if (it == m_others.end() || it->second.zone == m_self.zone)
             inZone.push_back(host);
     }
-    return inZone.empty() ? m_self.host : homeOrder(pollerDuty, 0, inZone).front();
+    return inZone.empty() ? m_self.host : homeOrder(pollerElection, 0, inZone).front();
 }
 
 void Membership::markLeaving(const std::string &name, Base::Incarnation incarnation)
--- a/src/libs/coordination/membership.h
+++ b/src/libs/coordination/membership.h
@@ -15,35 +15,39 @@
 
 namespace Coordination {
 
-/// A MembershipPolicy that cannot work.
+/// Error of Membership::create(): the interval, the timeout, maxStretch or the period of full
+/// heartbeats is out of range.
 struct InvalidMembershipPolicy
 {};
 
+/// Intervals and limits of Membership.
 struct MembershipPolicy
 {
     Base::Duration heartbeatInterval = std::chrono::milliseconds(500);
-    /// A member not heard of for this long is not used; it stays known. Three heartbeats and a
-    /// little for the way: two may be lost without anything moving. It grows with the
-    /// interval that the member announces.
+    /// A member that was silent for this long is regarded as dead, but stays known. The time is
+    /// three heartbeats plus the network delay, so that two heartbeats may be lost without an
+    /// effect. It grows with the interval that the member announces.
     Base::Duration suspectAfter = std::chrono::milliseconds(1600);
-    /// How far a heartbeat may be stretched to save bytes. More would make the loss of a router
-    /// known only after four seconds.
-    double largestStretch = 2;
-    /// Every so many heartbeats one is full: what lost ones left out is mended in 15 s. Thirty
-    /// leaving marks in each eighth took 8 KB a second.
+    /// Largest factor by which the interval may be stretched to save bytes. With a larger one the
+    /// loss of a router would be detected only after four seconds.
+    double maxStretch = 2;
+    /// One of this many heartbeats is full, so that what lost ones have left out is repaired
+    /// within 15 s. With one in eight, thirty leaving marks took 8 KB/s.
     std::uint64_t fullEvery = 30;
-    /// A pool whose numbers move is told again no sooner than this, but for new spare permits.
-    Base::Duration poolInterval = std::chrono::seconds(1);
-    /// From the second loss within flapWindow on, a member must be heard for flapHold times the
-    /// losses before it is used again, flapHoldLargest at most.
+    /// Shortest time between two updates of a changing pool. Newly spare permits are sent
+    /// without this delay.
+    Base::Duration poolUpdateInterval = std::chrono::seconds(1);
+    /// Flap damping: from the second loss within flapWindow on, a member must be heard for
+    /// holdDownStep times the number of losses, at most maxHoldDown, before it is used again.
     Base::Duration flapWindow = std::chrono::seconds(60);
-    Base::Duration flapHold = std::chrono::seconds(1);
-    Base::Duration flapHoldLargest = std::chrono::seconds(5);
-    /// A member that the list no longer has and that is silent for this long is forgotten.
+    Base::Duration holdDownStep = std::chrono::seconds(1);
+    Base::Duration maxHoldDown = std::chrono::seconds(5);
+    /// A dead member that the list no longer contains is forgotten after this silence.
     Base::Duration forgetAfter = std::chrono::seconds(60);
     LeavingPolicy leaving;
 };
 
+/// Identity and addresses of this router, as it announces them in full heartbeats.
 struct MembershipSelf
 {
     Base::HostId host;
@@ -63,26 +67,29 @@
     std::string peerAddress;
     std::string callerAddress;
     bool isAlive = false;
-    /// Whether the platform's newest list has it.
+    /// Whether the platform's newest list contains the router.
     bool isListed = false;
     Base::TimePoint heardAt;
+    /// Time to the next heartbeat, as announced in the last one.
     Base::Duration interval{};
     std::uint64_t sequence = 0;
     Settings::ConfigurationVersion configurationVersion = 0;
     std::vector<PoolSummary> pools;
-    /// Losses within the flap window, the last of them, and since when it is heard again.
+    /// Number of losses within the flap window.
     std::uint32_t losses = 0;
+    /// Time of the last loss.
     Base::TimePoint lostAt;
+    /// Time since which the router has been heard without a gap.
     Base::TimePoint steadySince;
 };
 
-/// Which routers are alive and which hosts are leaving, seeded from the platform's lagging
-/// list and kept by heartbeats.
+/// Tracks which routers are alive and which hosts are leaving. The members are seeded from the
+/// platform's list, which lags, and their liveness is determined by heartbeats.
 ///
-/// The list says who might be there; only a heartbeat says who is. So a list that is old, or
-/// flaps, or is not there at all, neither makes a dead router a home nor takes a live one away.
-/// Without flap damping a router at the edge of its capacity would be lost and found every few
-/// seconds, and each time its pool shards would move twice.
+/// The list contains candidates; only a heartbeat proves that a router is alive. A list that is
+/// old, flaps or is missing therefore neither makes a dead router a home (a router that grants
+/// permits) nor removes a live one. Without flap damping a router at the edge of its capacity
+/// would be lost and found every few seconds, and its pool shards would move twice each time.
 class Membership
 {
 public:
@@ -90,42 +97,51 @@
     static Base::Result<Membership> create(const MembershipPolicy &policy,
                                            const MembershipSelf &self);
 
+    /// Adds the routers and the leaving marks of the platform's list. Of a list older than the
+    /// newest one seen only the leaving marks are used.
     void seed(const Storage::HostListing &listing, Base::TimePoint now);
+    /// Applies a heartbeat of another router.
     void receive(const Heartbeat &heartbeat, Base::TimePoint now);
-    /// A connection to \a host was refused or cut.
+    /// Regards \a host as lost because a connection to it was refused or cut.
     void recordUnreachable(const Base::HostId &host, Base::TimePoint now);
+    /// Detects silent members and forgets those that are gone.
     void advance(Base::TimePoint now);
+    /// Announces at once that this router is leaving.
     void beginLeaving();
 
-    /// The next heartbeat if one is due; the caller fills in the version and all pools, then
-    /// calls omitUnchanged().
+    /// Returns the next heartbeat if one is due. The caller fills in the configuration version and
+    /// all pools and then calls omitUnchanged().
     std::optional<Heartbeat> dueHeartbeat(Base::TimePoint now);
-    /// Leaves out of a heartbeat that is not full the pools that were told a moment ago or
-    /// have moved by less than a half since: the summary steers where spare work goes, and
-    /// only spare permits where none were are news that cannot wait.
+    /// Removes pools from a heartbeat that is not full: those that were sent less than
+    /// MembershipPolicy::poolUpdateInterval ago, and those whose numbers are within a factor of two
+    /// of the ones sent last. Receivers use the summary only to place spare work, so that nothing
+    /// but newly spare permits is urgent.
     void omitUnchanged(Heartbeat &heartbeat);
-    /// Stretches the interval between heartbeats, within the policy.
+    /// Multiplies the heartbeat interval by \a stretch, limited to 1..MembershipPolicy::maxStretch.
     void setStretch(double stretch);
     Base::TimePoint nextDue() const { return m_nextHeartbeat; }
 
     const MembershipSelf &self() const { return m_self; }
-    /// Asked to leave, or said to be leaving by the platform or a peer.
+    /// Whether this router was asked to leave or is marked as leaving by the platform or a peer.
     bool isSelfLeaving() const { return m_isSelfLeaving; }
-    /// All known routers but this one, by host.
+    /// All known routers except this one, by host.
     const std::map<Base::HostId, Member> &others() const { return m_others; }
     bool isAlive(const Base::HostId &host) const;
     /// Whether this start of a host (router or backend server) is leaving.
     bool isLeaving(const std::string &name, Base::Incarnation incarnation) const;
-    /// Routers that may be homes: alive and not leaving, this one included, sorted.
+    /// Routers that may be homes, sorted: those that are alive and not leaving, including this one.
     std::vector<Base::HostId> usableRouters() const;
-    /// The live router that polls the table for this one's zone.
+    /// The usable router that polls the configuration table for this router's zone; this router if
+    /// the zone has none.
     Base::HostId zonePoller() const;
-    /// Changes whenever usableRouters() or isLeaving() may have changed.
+    /// Grows whenever the result of usableRouters() or isLeaving() may have changed.
     std::uint64_t viewVersion() const { return m_viewVersion; }
+    /// Number of leaving marks.
     std::size_t leavingMarks() const { return m_marks.size(); }
 
 private:
-    struct ToldPool
+    /// The last summary of a pool shard that was sent, and when.
+    struct SentPool
     {
         PoolSummary summary;
         Base::TimePoint at;
@@ -133,21 +149,26 @@
 
     Membership(const MembershipPolicy &policy, const MembershipSelf &self);
     void markLeaving(const std::string &name, Base::Incarnation incarnation);
-    Member *learn(const Heartbeat &heartbeat);
-    void begin(Member &member, const Heartbeat &heartbeat);
-    bool isNews(const PoolSummary &summary) const;
-    void takePools(Member &member, const Heartbeat &heartbeat);
-    void takeLife(Member &member, Base::TimePoint now);
-    void lose(Member &member, Base::TimePoint now);
-    Base::Duration holdFor(const Member &member) const;
-    Base::Duration patience(const Member &member) const;
+    /// Returns the sender with its addresses updated; null if it is unknown and the heartbeat has
+    /// no addresses.
+    Member *findOrAdd(const Heartbeat &heartbeat);
+    void resetForNewStart(Member &member, const Heartbeat &heartbeat);
+    bool isWorthSending(const PoolSummary &summary) const;
+    void applyPools(Member &member, const Heartbeat &heartbeat);
+    /// Records that the member was heard and marks it alive after its hold-down time.
+    void recordHeard(Member &member, Base::TimePoint now);
+    void markLost(Member &member, Base::TimePoint now);
+    /// How long a lost member must be heard before it is used again.
+    Base::Duration holdDownTime(const Member &member) const;
+    /// Silence after which the member is regarded as dead.
+    Base::Duration suspectTimeout(const Member &member) const;
     void seedRouter(const Storage::ListedHost &listed);
 
     MembershipPolicy m_policy;
     MembershipSelf m_self;
     std::map<Base::HostId, Member> m_others;
     LeavingMarks m_marks;
-    std::map<std::pair<Base::PoolId, std::uint32_t>, ToldPool> m_toldPools;
+    std::map<std::pair<Base::PoolId, std::uint32_t>, SentPool> m_sentPools;
     Base::TimePoint m_nextHeartbeat{};
     Base::TimePoint m_sentAt{};
     Base::TimePoint m_lastAdvance{};
--- a/tests/auto/coordination/tst_membership.cpp
+++ b/tests/auto/coordination/tst_membership.cpp
@@ -29,7 +29,7 @@
     return host;
 }
 
-/// Three routers and the platform's list; links can be cut in either direction.
+/// Three routers and the platform's list of hosts. Each link can be cut in either direction.
 class Region
 {
 public:
@@ -88,18 +88,18 @@
 
 } // namespace
 
-// A router is told to leave. The list flaps between live and leaving, comes late in an old
-// version, links break and heal. If one router took it for live again, work sent there would
-// be cut off when it goes.
+// Guards against new work for a leaving router, which would be cut off when the router goes. The
+// list flaps between live and leaving and arrives late in an old version, and links break and
+// heal; no router may regard the leaving one as live again.
 TEST_CASE("a leaving host never becomes usable again in the same start", "[membership]")
 {
-    rc::prop("sticky, and known to all once links are whole", [] {
+    rc::prop("leaving is permanent, and known to all once the links are whole", [] {
         Region region;
         for (const Base::HostId &at : {r0, r1, r2})
             region.list(at, 10, live);
         region.run(1s);
-        std::map<Base::HostId, bool> hasKnown;
-        bool isAnyTold = false;
+        std::map<Base::HostId, bool> knowsLeaving;
+        bool isAnyLeaving = false;
         const int steps = *rc::gen::inRange(1, 30);
         for (int i = 0; i < steps; ++i) {
             const Base::HostId at("r" + std::to_string(*rc::gen::inRange(0, 3)));
@@ -112,13 +112,13 @@
             if (what >= 2 && what <= 4) {
                 const auto state = *rc::gen::element(live, leaving);
                 region.list(at, *rc::gen::inRange<std::uint64_t>(1, 30), state);
-                isAnyTold = isAnyTold || state == leaving;
+                isAnyLeaving = isAnyLeaving || state == leaving;
             }
             region.run(std::chrono::milliseconds(*rc::gen::inRange(0, 30) * 100));
             for (const Base::HostId &seenBy : {r0, r1, r2}) {
                 if (region.routers[seenBy]->isLeaving("r2", 1))
-                    hasKnown[seenBy] = true;
-                RC_ASSERT(!(hasKnown[seenBy] && region.isUsable(seenBy, r2)));
+                    knowsLeaving[seenBy] = true;
+                RC_ASSERT(!(knowsLeaving[seenBy] && region.isUsable(seenBy, r2)));
             }
         }
         region.cut.clear();
@@ -126,7 +126,7 @@
         for (const Base::HostId &at : {r0, r1, r2}) {
             RC_ASSERT(region.isUsable(at, r0));
             RC_ASSERT(region.isUsable(at, r1));
-            RC_ASSERT(region.isUsable(at, r2) == !isAnyTold);
+            RC_ASSERT(region.isUsable(at, r2) == !isAnyLeaving);
         }
     });
 }
@@ -142,7 +142,7 @@
     region.run(100ms);
     CHECK_FALSE(region.isUsable(r0, r2));
     region.run(10s);
-    // r1 starts cold from the old list, cut off from r2: r0 tells it.
+    // r1 restarts with the old list and without a link from r2, and learns of it from r0.
     region.cut[{r2, r1}] = true;
     region.start(r1, 2);
     region.list(r1, 1, live);
@@ -153,12 +153,12 @@
     region.run(1s);
     CHECK(region.isUsable(r0, r2));
     CHECK(region.isUsable(r1, r2));
-    // The new start has heard of the old one within one exchange.
+    // The new start has learned of the old one's mark within one exchange.
     CHECK(region.routers[r2]->isLeaving("r2", 1));
 }
 
-// 2,600 starts leave every day; marks of hosts that are gone must go, and must not be kept
-// alive by routers telling each other.
+// Guards against marks that accumulate: 2,600 starts leave every day. The marks of hosts that are
+// gone must expire, and routers must not renew them for each other.
 TEST_CASE("marks are dropped a day after the list has moved past them", "[membership]")
 {
     Region region;
@@ -166,8 +166,8 @@
         region.list(at, 1, leaving);
     region.run(1s);
     region.routers.erase(r2);
-    // The list reaches the two some hours apart, so that each drops its mark while the other
-    // still has it.
+    // The list reaches the two routers five hours apart, so that each drops its mark while the
+    // other still has it.
     for (const Base::HostId &at : {r0, r1}) {
         Storage::HostListing listing;
         listing.version = 2;
@@ -187,7 +187,7 @@
     CHECK(region.routers[r0]->others().count(r2) == 0);
 }
 
-TEST_CASE("a late or doubled heartbeat does not make a dead router live", "[membership]")
+TEST_CASE("a delayed or duplicated heartbeat does not make a dead router live", "[membership]")
 {
     Region region;
     for (const Base::HostId &at : {r0, r1, r2})
@@ -203,8 +203,9 @@
     CHECK_FALSE(region.isUsable(r0, r2));
 }
 
-// A router's link fails every few seconds. Undamped, its pool shards would move twice each time.
-TEST_CASE("a flapping router is used again only after a steady while", "[membership]")
+// A router's link fails every few seconds. Without flap damping its pool shards would move twice
+// each time.
+TEST_CASE("a flapping router is used again only after a stable period", "[membership]")
 {
     Region region;
     for (const Base::HostId &at : {r0, r1, r2})
@@ -220,7 +221,7 @@
     CHECK(region.isUsable(r0, r2));
 }
 
-TEST_CASE("a router that was itself paused does not take all others for dead", "[membership]")
+TEST_CASE("a router that was itself paused does not regard all others as dead", "[membership]")
 {
     Region region;
     for (const Base::HostId &at : {r0, r1, r2})
@@ -273,40 +274,41 @@
     CHECK(entries <= 1);
 }
 
-TEST_CASE("many marks at once are spread over a few heartbeats", "[membership]")
+TEST_CASE("many new marks are spread over several heartbeats", "[membership]")
 {
     LeavingMarks marks;
     for (int i = 0; i < 30; ++i)
         marks.add("s" + std::to_string(i), 1);
-    std::map<std::string, int> told;
+    std::map<std::string, int> sendCounts;
     for (int i = 0; i < 38; ++i) {
-        const std::vector<LeavingMark> some = marks.takeTold(false);
+        const std::vector<LeavingMark> some = marks.takeForHeartbeat(false);
         CHECK(some.size() <= 4);
         for (const LeavingMark &mark : some)
-            ++told[mark.name];
-        CHECK((i < 7 || told.size() == 30));
+            ++sendCounts[mark.name];
+        CHECK((i < 7 || sendCounts.size() == 30));
     }
-    CHECK(std::all_of(told.begin(), told.end(), [](const auto &it) { return it.second == 5; }));
-    CHECK(marks.takeTold(false).empty());
-    CHECK(marks.takeTold(true).size() == 30);
+    CHECK(std::all_of(sendCounts.begin(), sendCounts.end(),
+                      [](const auto &it) { return it.second == 5; }));
+    CHECK(marks.takeForHeartbeat(false).empty());
+    CHECK(marks.takeForHeartbeat(true).size() == 30);
 }
 
-TEST_CASE("new spare permits are told at once, other changes of a pool once a second",
+TEST_CASE("newly spare permits are sent at once, other changes of a pool once a second",
           "[membership]")
 {
     Region region;
     Membership &router = *region.routers[r0];
-    const auto isTold = [&](std::uint32_t waiting, std::uint32_t freePermits) {
+    const auto isSent = [&](std::uint32_t waiting, std::uint32_t freePermits) {
         std::optional<Heartbeat> heartbeat = router.dueHeartbeat(region.now += 500ms);
         heartbeat->pools = {{Base::PoolId("model/m"), 0, waiting, freePermits, 30}};
         router.omitUnchanged(*heartbeat);
         return !heartbeat->pools.empty();
     };
-    CHECK(isTold(100, 0));
-    CHECK_FALSE(isTold(10, 0));
-    CHECK(isTold(10, 0));
-    CHECK(isTold(0, 5));
-    CHECK_FALSE(isTold(3, 0));
-    CHECK(isTold(3, 0));
-    CHECK_FALSE(isTold(3, 0));
+    CHECK(isSent(100, 0));
+    CHECK_FALSE(isSent(10, 0));
+    CHECK(isSent(10, 0));
+    CHECK(isSent(0, 5));
+    CHECK_FALSE(isSent(3, 0));
+    CHECK(isSent(3, 0));
+    CHECK_FALSE(isSent(3, 0));
 }
