--- a/tests/auto/coordination/tst_homemap.cpp
+++ b/tests/auto/coordination/tst_homemap.cpp
@@ -25,11 +25,11 @@
 
 } // namespace
 
-// A router goes. If other shards than its own moved, permits would be asked of the wrong homes
-// all over the region at the very moment when capacity is short.
+// Guards against a loss that moves more shards than those of the lost router: requests for
+// permits would go to the wrong homes in the whole region while capacity is short.
 TEST_CASE("the loss of a router moves its own shards only, each to its standby", "[homes]")
 {
-    rc::prop("all other orders stay", [] {
+    rc::prop("the order of the remaining routers is unchanged", [] {
         const auto count = *rc::gen::inRange<std::size_t>(2, 40);
         std::vector<Base::HostId> routers = makeRouters(count);
         const auto lost = *rc::gen::inRange<std::size_t>(0, count);
@@ -65,9 +65,9 @@
         CHECK(count <= 48);
 }
 
-TEST_CASE("one shard more takes servers from the others, and moves none between them", "[homes]")
+TEST_CASE("an added shard takes servers from the others and moves none between them", "[homes]")
 {
-    rc::prop("a server stays or goes to the new shard", [] {
+    rc::prop("a server stays or moves to the new shard", [] {
         const auto shards = *rc::gen::inRange<std::uint32_t>(1, 30);
         for (int i = 0; i < 100; ++i) {
             const Base::ServerId server("s" + std::to_string(i));
