--- a/src/libs/coordination/configurationcompactor.cpp
+++ b/src/libs/coordination/configurationcompactor.cpp
@@ -11,16 +11,17 @@
 
 using Storage::TableStatus;
 
-/// Snapshots before a name is used again: a put that comes late by less than eight snapshots
-/// (six hours at 62,000 changes a day) overwrites nothing.
-constexpr std::size_t snapshotNames = 8;
-constexpr std::size_t deletedAtOnce = 100;
+/// Number of object keys that are used in turn. A put that is delayed by less than eight
+/// snapshots (six hours at 62,000 changes a day) overwrites no newer snapshot.
+constexpr std::size_t snapshotSlots = 8;
+/// Number of rows that are scanned and deleted at once.
+constexpr std::size_t deleteBatchSize = 100;
 
 } // namespace
 
-std::string snapshotObject(Settings::ConfigurationVersion version, std::size_t compactEvery)
+std::string snapshotObjectKey(Settings::ConfigurationVersion version, std::size_t compactEvery)
 {
-    return snapshotKey + '/' + std::to_string(version / compactEvery % snapshotNames);
+    return snapshotKey + '/' + std::to_string(version / compactEvery % snapshotSlots);
 }
 
 Settings::ConfigurationVersion snapshotVersionOf(const Storage::TableOutcome &outcome)
@@ -50,11 +51,11 @@
     if (now < m_nextRun || configuration.version() < m_snapshot + m_policy.compactEvery)
         return;
     m_nextRun = now + m_policy.compactInterval;
-    // A run that still waits for an answer is given up: its operation is no longer ours.
+    // The new operation id abandons an earlier run that still waits for an answer.
     readPointer();
 }
 
-Storage::OperationId ConfigurationCompactor::begin(Stage stage)
+Storage::OperationId ConfigurationCompactor::beginStage(Stage stage)
 {
     m_stage = stage;
     m_operation = m_operations->next();
@@ -63,7 +64,7 @@
 
 void ConfigurationCompactor::readPointer()
 {
-    m_table->read(begin(Stage::ReadPointer), snapshotKey);
+    m_table->read(beginStage(Stage::ReadPointer), snapshotKey);
 }
 
 bool ConfigurationCompactor::handle(const Storage::TableOutcome &outcome,
@@ -76,9 +77,9 @@
     if (outcome.status != TableStatus::Done)
         return true;
     if (stage == Stage::ReadPointer)
-        tookPointer(outcome, configuration);
+        handlePointer(outcome, configuration);
     if (stage == Stage::WritePointer) {
-        m_snapshot = m_writing;
+        m_snapshot = m_pendingSnapshot;
         scan();
     }
     if (stage == Stage::Scan)
@@ -98,25 +99,26 @@
     return true;
 }
 
-void ConfigurationCompactor::tookPointer(const Storage::TableOutcome &outcome,
-                                         const Settings::Configuration &configuration)
+void ConfigurationCompactor::handlePointer(const Storage::TableOutcome &outcome,
+                                           const Settings::Configuration &configuration)
 {
     m_snapshot = snapshotVersionOf(outcome);
-    m_pointerRow = outcome.rows.empty() ? Storage::absentRow : outcome.rows.front().version;
+    m_pointerRowVersion = outcome.rows.empty() ? Storage::absentRow : outcome.rows.front().version;
     if (configuration.version() < m_snapshot + m_policy.compactEvery) {
-        // Another router was first; what it had no time to delete is deleted here.
+        // Another router has written the snapshot; rows that it has not deleted are deleted here.
         scan();
         return;
     }
-    m_writing = configuration.version();
-    m_objects->put(begin(Stage::Put), snapshotObject(m_writing, m_policy.compactEvery),
+    m_pendingSnapshot = configuration.version();
+    m_objects->put(beginStage(Stage::Put),
+                   snapshotObjectKey(m_pendingSnapshot, m_policy.compactEvery),
                    Settings::encodeConfiguration(configuration));
 }
 
 void ConfigurationCompactor::writePointer()
 {
-    m_table->transact(begin(Stage::WritePointer),
-                      {{snapshotKey, std::to_string(m_writing), m_pointerRow}});
+    m_table->transact(beginStage(Stage::WritePointer),
+                      {{snapshotKey, std::to_string(m_pendingSnapshot), m_pointerRowVersion}});
 }
 
 Settings::ConfigurationVersion ConfigurationCompactor::lastDeletable() const
@@ -128,8 +130,8 @@
 {
     if (lastDeletable() == 0)
         return;
-    m_table->scan(begin(Stage::Scan), Settings::changePrefix, Settings::changeKey(0),
-                  deletedAtOnce);
+    m_table->scan(beginStage(Stage::Scan), Settings::changePrefix, Settings::changeKey(0),
+                  deleteBatchSize);
 }
 
 void ConfigurationCompactor::deleteRows(const Storage::TableOutcome &outcome)
@@ -141,7 +143,7 @@
             writes.push_back({row.key, std::nullopt, std::nullopt});
     }
     if (!writes.empty())
-        m_table->transact(begin(Stage::Delete), writes);
+        m_table->transact(beginStage(Stage::Delete), writes);
 }
 
 } // namespace Coordination
--- a/src/libs/coordination/configurationreplica.cpp
+++ b/src/libs/coordination/configurationreplica.cpp
@@ -30,7 +30,7 @@
     , m_table(&table)
     , m_objects(&objects)
     , m_operations(&operations)
-    , m_known(policy.keptChanges)
+    , m_history(policy.keptChanges)
     , m_writer(policy, table, operations, writer)
     , m_compactor(policy, table, objects, operations)
 {}
@@ -40,7 +40,7 @@
     m_now = now;
     m_writer.advance(now);
     std::erase_if(m_peers, [&](const auto &entry) {
-        return now - entry.second.heardAt >= m_policy.peerLife;
+        return now - entry.second.heardAt >= m_policy.peerTimeout;
     });
     std::erase_if(m_polls,
                   [&](const auto &entry) { return now - entry.second >= m_policy.pollTimeout; });
@@ -50,11 +50,11 @@
 
 void ConfigurationReplica::poll(Base::TimePoint now)
 {
-    const bool isOften = m_isPolling || !m_isReady;
-    m_nextPoll = now + (isOften ? m_policy.pollInterval : m_policy.idlePollInterval);
+    const bool isFrequent = m_isPolling || !m_isReady;
+    m_nextPoll = now + (isFrequent ? m_policy.pollInterval : m_policy.idlePollInterval);
     const Storage::OperationId operation = m_operations->next();
     m_polls[operation] = now;
-    m_table->scan(operation, Settings::changePrefix, Settings::changeKey(m_known.version()),
+    m_table->scan(operation, Settings::changePrefix, Settings::changeKey(m_history.version()),
                   m_policy.pollLimit);
 }
 
@@ -63,37 +63,38 @@
     m_now = now;
     if (m_polls.erase(outcome.operation) > 0) {
         if (outcome.status == TableStatus::Done)
-            takePoll(outcome, now);
+            handlePollAnswer(outcome, now);
         return true;
     }
     if (outcome.operation == m_pointerRead) {
         m_pointerRead.reset();
         const Settings::ConfigurationVersion version = snapshotVersionOf(outcome);
-        if (outcome.status != TableStatus::Done || version <= m_known.version())
+        if (outcome.status != TableStatus::Done || version <= m_history.version())
             return true;
         m_snapshotRead = m_operations->next();
-        m_objects->get(*m_snapshotRead, snapshotObject(version, m_policy.compactEvery));
+        m_objects->get(*m_snapshotRead, snapshotObjectKey(version, m_policy.compactEvery));
         return true;
     }
-    return m_writer.handle(outcome, m_known, now)
-           || m_compactor.handle(outcome, m_known.configuration());
+    return m_writer.handle(outcome, m_history, now)
+           || m_compactor.handle(outcome, m_history.configuration());
 }
 
-void ConfigurationReplica::takePoll(const Storage::TableOutcome &outcome, Base::TimePoint now)
+void ConfigurationReplica::handlePollAnswer(const Storage::TableOutcome &outcome,
+                                            Base::TimePoint now)
 {
     for (const Storage::TableRow &row : outcome.rows) {
         const Settings::ConfigurationVersion version = Settings::versionOfKey(row.key);
-        if (version > m_known.version() + 1) {
-            // The rows between were deleted: they are in a snapshot.
+        if (version > m_history.version() + 1) {
+            // The rows in between were deleted, so a snapshot contains their changes.
             fetchSnapshot();
             return;
         }
         auto change = Settings::decodeChange(version, row.value);
-        // A row that cannot be read stops the copy here rather than let it go on without it:
-        // what is in force stays in force, as with a table that is down.
+        // The replica does not skip a malformed row. It keeps the configuration in force, as if
+        // the table were down.
         if (!change)
             return;
-        m_known.apply(*change, ChangeSource::Table, now);
+        m_history.apply(*change, ChangeSource::Table, now);
     }
     if (outcome.rows.size() >= m_policy.pollLimit) {
         m_nextPoll = now;
@@ -101,7 +102,7 @@
     }
     m_isReady = true;
     if (m_isPolling)
-        m_compactor.advance(m_known.configuration(), now);
+        m_compactor.advance(m_history.configuration(), now);
 }
 
 void ConfigurationReplica::fetchSnapshot()
@@ -119,7 +120,7 @@
     if (outcome.status != Storage::ObjectStatus::Done)
         return true;
     const auto configuration = Settings::decodeConfiguration(outcome.value);
-    if (configuration && m_known.replace(*configuration))
+    if (configuration && m_history.replace(*configuration))
         m_nextPoll = now;
     return true;
 }
@@ -127,79 +128,80 @@
 void ConfigurationReplica::writeTarget(std::uint64_t handle, const Settings::ClassTarget &target,
                                        Settings::ConfigurationVersion seen, Base::TimePoint now)
 {
-    m_writer.write(handle, target, seen, m_known, now);
+    m_writer.write(handle, target, seen, m_history, now);
 }
 
 void ConfigurationReplica::notePeer(const Base::HostId &peer,
                                     Settings::ConfigurationVersion version, Base::TimePoint now)
 {
     m_peers[peer] = {version, now};
-    if (version <= m_known.version())
+    if (version <= m_history.version())
         return;
-    // What a peer has just learned it is about to push; only a lasting lack is asked for.
+    // A peer that has just got a change is about to push it, so a pull starts only if the change
+    // is still missing after the interval.
     if (m_nextPull == Base::TimePoint{})
         m_nextPull = now + m_policy.pullInterval;
 }
 
 std::optional<Base::HostId> ConfigurationReplica::duePull(Base::TimePoint now)
 {
-    if (newestOfPeers() <= m_known.version()) {
+    if (newestPeerVersion() <= m_history.version()) {
         m_nextPull = {};
         return std::nullopt;
     }
     if (m_nextPull == Base::TimePoint{} || now < m_nextPull)
         return std::nullopt;
     m_nextPull = now + m_policy.pullInterval;
-    std::optional<Base::HostId> latest;
+    std::optional<Base::HostId> mostRecent;
     Base::TimePoint heardAt{};
     for (const auto &[host, peer] : m_peers) {
-        if (peer.version <= m_known.version() || peer.heardAt < heardAt)
+        if (peer.version <= m_history.version() || peer.heardAt < heardAt)
             continue;
-        latest = host;
+        mostRecent = host;
         heardAt = peer.heardAt;
     }
-    return latest;
+    return mostRecent;
 }
 
 std::vector<Settings::ConfigurationChange>
 ConfigurationReplica::changesToPush(Settings::ConfigurationVersion version, std::size_t limit,
                                     Base::TimePoint now) const
 {
-    if (!m_known.isToPush(version, m_policy.pushPatience, now))
+    if (!m_history.shouldPush(version, m_policy.relayDelay, now))
         return {};
-    return m_known.after(version, limit);
+    return m_history.after(version, limit);
 }
 
 std::vector<Settings::ConfigurationChange>
 ConfigurationReplica::changesAfter(Settings::ConfigurationVersion version, std::size_t limit) const
 {
-    return m_known.after(version, limit);
+    return m_history.after(version, limit);
 }
 
 void ConfigurationReplica::learn(const std::vector<Settings::ConfigurationChange> &changes)
 {
     bool isNew = false;
     for (const Settings::ConfigurationChange &change : changes)
-        isNew = m_known.apply(change, ChangeSource::Peer, m_now) || isNew;
+        isNew = m_history.apply(change, ChangeSource::Peer, m_now) || isNew;
     if (isNew)
-        becomeReadyFromPeers();
+        updateReadinessFromPeers();
 }
 
 void ConfigurationReplica::learnSnapshot(const Settings::Configuration &configuration)
 {
-    if (m_known.replace(configuration))
-        becomeReadyFromPeers();
+    if (m_history.replace(configuration))
+        updateReadinessFromPeers();
 }
 
-void ConfigurationReplica::becomeReadyFromPeers()
+void ConfigurationReplica::updateReadinessFromPeers()
 {
     m_nextPull = m_now;
-    // Part of the way is an old configuration, which a cold start must not serve.
-    if (m_known.version() >= newestOfPeers())
+    // A configuration behind that of the peers is old, and a cold start must not serve it.
+    if (m_history.version() >= newestPeerVersion())
         m_isReady = true;
 }
 
-Settings::ConfigurationVersion ConfigurationReplica::newestOfPeers() const
+Settings::ConfigurationVersion ConfigurationReplica::newestPeerVersion() const
 {
     Settings::ConfigurationVersion newest = 0;
     for (const auto &[host, peer] : m_peers)
--- a/src/libs/coordination/configurationreplica.h
+++ b/src/libs/coordination/configurationreplica.h
@@ -19,62 +19,70 @@
 
 namespace Coordination {
 
-/// This router's copy of the configuration: polled from the table, learned from peers, only
-/// ever upward, change by change or by a whole snapshot.
+/// This router's copy of the configuration. It is updated from the table, by polling, and from
+/// peers, either change by change or by a whole snapshot. Its version never decreases.
 ///
-/// Failures it stops: a table that is down, slow, answers out of order or loses answers; a peer
-/// or a table with an old state. They would show as a target that goes back to an older value.
-/// The guard holds because a change is applied only if its version is the next one, a snapshot
-/// only if it is newer, and a change's row, once written, is never written again.
+/// No target can revert to an older value, even if the table is down or slow, loses answers or
+/// gives them out of order, or if the table or a peer has an old state: a change is applied only
+/// if its version is the next one, a snapshot only if it is newer, and the row of a change is
+/// never overwritten.
 ///
-/// Rows: "config/head" holds the newest version in decimal; "config/change/NNNNNNNNNNNNNNNN"
-/// holds each change as JSON; "config/snapshot" names the newest snapshot (see
-/// ConfigurationCompactor).
+/// The table's rows are "config/head" with the newest version in decimal,
+/// "config/change/NNNNNNNNNNNNNNNN" with one change each as JSON, and "config/snapshot" with the
+/// version of the newest snapshot (see ConfigurationCompactor).
 class ConfigurationReplica
 {
 public:
-    /// \a writer distinguishes this start of this router among all writers there ever were.
+    /// \a writer must be unique for this start of this router among all writers, past ones
+    /// included. Fails with InvalidConfigurationPolicy.
     static Base::Result<ConfigurationReplica> create(const ConfigurationPolicy &policy,
                                                      Storage::TableService &table,
                                                      Storage::ObjectStore &objects,
                                                      Storage::OperationIds &operations,
                                                      const std::string &writer);
 
-    const Settings::Configuration &configuration() const { return m_known.configuration(); }
-    /// False until the table or the peers have given the newest configuration that they know;
-    /// until then nothing is served. Never false again.
+    const Settings::Configuration &configuration() const { return m_history.configuration(); }
+    /// Whether the newest configuration that the table or the peers know has been received. Before
+    /// that the router must not serve. Once true, it stays true.
     bool isReady() const { return m_isReady; }
-    /// Whether this router polls for its zone. Others look rarely, in case the poller is blind.
+    /// Sets whether this router polls for its zone. Other routers poll rarely, in case the poller
+    /// does not reach the table.
     void setPolling(bool isPolling) { m_isPolling = isPolling; }
 
+    /// Sends due polls and continues or ends due writes.
     void advance(Base::TimePoint now);
+    /// Time of the next poll.
     Base::TimePoint nextDue() const { return m_nextPoll; }
-    /// Whether the outcome was an answer to this part's call.
+    /// Processes the outcome of a call. Returns whether the call was one of the replica's.
     bool handle(const Storage::TableOutcome &outcome, Base::TimePoint now);
     bool handle(const Storage::ObjectOutcome &outcome, Base::TimePoint now);
 
-    /// Writes a target if the class has not changed after version \a seen.
+    /// Starts to write a target, on condition that the class has not changed after version
+    /// \a seen. takeWriteResults() gives the result, with \a handle.
     void writeTarget(std::uint64_t handle, const Settings::ClassTarget &target,
                      Settings::ConfigurationVersion seen, Base::TimePoint now);
+    /// Returns the results of finished writes and removes them.
     std::vector<TargetWriteResult> takeWriteResults() { return m_writer.takeResults(); }
 
-    /// Notes which version a peer's heartbeat named.
+    /// Records the version that a peer's heartbeat has announced.
     void notePeer(const Base::HostId &peer, Settings::ConfigurationVersion version,
                   Base::TimePoint now);
-    /// The peer to ask for what is missing here, if it is time to ask.
+    /// Returns the peer to pull missing changes from if a pull is due, and schedules the next one.
     std::optional<Base::HostId> duePull(Base::TimePoint now);
-    /// What to push to a peer at \a version without being asked. Only routers that have a
-    /// change at first hand push it at once; the rest only if the peer still lacks it a while
-    /// later. Otherwise each change would reach each router from all others.
+    /// Returns up to \a limit changes to push to a peer that is at \a version. A router pushes a
+    /// change at once only if it has read it from the table, and otherwise only if the peer still
+    /// lacks it after ConfigurationPolicy::relayDelay. Without this rule every router would get
+    /// each change from all others.
     std::vector<Settings::ConfigurationChange> changesToPush(Settings::ConfigurationVersion version,
                                                              std::size_t limit,
                                                              Base::TimePoint now) const;
-    /// Changes after \a version, for a peer that asks; empty if it must take a snapshot.
+    /// Returns up to \a limit changes after \a version for a peer that pulls; empty if they are no
+    /// longer kept and the peer needs a snapshot.
     std::vector<Settings::ConfigurationChange> changesAfter(Settings::ConfigurationVersion version,
                                                             std::size_t limit) const;
-    /// Takes changes from a peer; those not next in order are left.
+    /// Applies changes from a peer. A change whose version is not the next one is ignored.
     void learn(const std::vector<Settings::ConfigurationChange> &changes);
-    /// Takes a peer's whole configuration if it is newer.
+    /// Replaces the configuration by a peer's if that is newer.
     void learnSnapshot(const Settings::Configuration &configuration);
 
 private:
@@ -88,20 +96,22 @@
                          Storage::ObjectStore &objects, Storage::OperationIds &operations,
                          const std::string &writer);
     void poll(Base::TimePoint now);
-    void takePoll(const Storage::TableOutcome &outcome, Base::TimePoint now);
+    void handlePollAnswer(const Storage::TableOutcome &outcome, Base::TimePoint now);
+    /// Reads the pointer row, then the snapshot that it names.
     void fetchSnapshot();
-    void becomeReadyFromPeers();
-    Settings::ConfigurationVersion newestOfPeers() const;
+    /// Makes the next pull due at once, and the replica ready if it has caught up with all peers.
+    void updateReadinessFromPeers();
+    Settings::ConfigurationVersion newestPeerVersion() const;
 
     ConfigurationPolicy m_policy;
     Storage::TableService *m_table;
     Storage::ObjectStore *m_objects;
     Storage::OperationIds *m_operations;
-    KnownChanges m_known;
+    ConfigurationHistory m_history;
     TargetWriter m_writer;
     ConfigurationCompactor m_compactor;
     std::map<Base::HostId, Peer> m_peers;
-    /// Polls without an answer yet, with the time they were sent.
+    /// Send times of the polls that have no answer yet.
     std::map<Storage::OperationId, Base::TimePoint> m_polls;
     std::optional<Storage::OperationId> m_pointerRead;
     std::optional<Storage::OperationId> m_snapshotRead;
--- a/src/libs/coordination/knownchanges.cpp
+++ b/src/libs/coordination/knownchanges.cpp
@@ -4,22 +4,22 @@
 
 namespace Coordination {
 
-KnownChanges::KnownChanges(std::size_t largestCount)
-    : m_largestCount(largestCount)
+ConfigurationHistory::ConfigurationHistory(std::size_t maxChanges)
+    : m_maxChanges(maxChanges)
 {}
 
-bool KnownChanges::apply(const Settings::ConfigurationChange &change, ChangeSource source,
-                         Base::TimePoint now)
+bool ConfigurationHistory::apply(const Settings::ConfigurationChange &change, ChangeSource source,
+                                 Base::TimePoint now)
 {
     if (!m_configuration.apply(change))
         return false;
     m_changes.push_back({change, source, now});
-    if (m_changes.size() > m_largestCount)
+    if (m_changes.size() > m_maxChanges)
         m_changes.pop_front();
     return true;
 }
 
-bool KnownChanges::replace(const Settings::Configuration &configuration)
+bool ConfigurationHistory::replace(const Settings::Configuration &configuration)
 {
     if (configuration.version() <= version())
         return false;
@@ -28,46 +28,47 @@
     return true;
 }
 
-const KnownChanges::Known *KnownChanges::next(Settings::ConfigurationVersion version) const
+const ConfigurationHistory::Entry *
+ConfigurationHistory::entryAfter(Settings::ConfigurationVersion version) const
 {
     if (m_changes.empty() || version + 1 < m_changes.front().change.version)
         return nullptr;
-    const std::size_t at = version + 1 - m_changes.front().change.version;
-    return at < m_changes.size() ? &m_changes[at] : nullptr;
+    const std::size_t index = version + 1 - m_changes.front().change.version;
+    return index < m_changes.size() ? &m_changes[index] : nullptr;
 }
 
 std::vector<Settings::ConfigurationChange>
-KnownChanges::after(Settings::ConfigurationVersion version, std::size_t limit) const
+ConfigurationHistory::after(Settings::ConfigurationVersion version, std::size_t limit) const
 {
     std::vector<Settings::ConfigurationChange> changes;
     while (changes.size() < limit) {
-        const Known *known = next(version);
-        if (!known)
+        const Entry *entry = entryAfter(version);
+        if (!entry)
             return changes;
-        changes.push_back(known->change);
+        changes.push_back(entry->change);
         ++version;
     }
     return changes;
 }
 
-bool KnownChanges::isToPush(Settings::ConfigurationVersion version, Base::Duration patience,
-                            Base::TimePoint now) const
+bool ConfigurationHistory::shouldPush(Settings::ConfigurationVersion version,
+                                      Base::Duration relayDelay, Base::TimePoint now) const
 {
-    const Known *known = next(version);
-    return known && (known->source == ChangeSource::Table || now - known->at >= patience);
+    const Entry *entry = entryAfter(version);
+    return entry && (entry->source == ChangeSource::Table || now - entry->learnedAt >= relayDelay);
 }
 
-bool KnownChanges::isChangedAfter(const Base::ClassId &name,
-                                  Settings::ConfigurationVersion seen) const
+bool ConfigurationHistory::mayHaveChangedAfter(const Base::ClassId &name,
+                                               Settings::ConfigurationVersion seen) const
 {
     const Settings::VersionedTarget *target = m_configuration.target(name);
     if (target)
         return target->version > seen;
-    if (seen < version() && !next(seen))
+    if (seen < version() && !entryAfter(seen))
         return true;
-    return std::any_of(m_changes.begin(), m_changes.end(), [&](const Known &known) {
-        const auto *removed = std::get_if<Settings::RemoveClass>(&known.change.what);
-        return known.change.version > seen && removed && removed->name == name;
+    return std::any_of(m_changes.begin(), m_changes.end(), [&](const Entry &entry) {
+        const auto *removed = std::get_if<Settings::RemoveClass>(&entry.change.what);
+        return entry.change.version > seen && removed && removed->name == name;
     });
 }
 
--- a/src/libs/coordination/knownchanges.h
+++ b/src/libs/coordination/knownchanges.h
@@ -9,48 +9,54 @@
 
 namespace Coordination {
 
-/// Where a change was learned from.
+/// The source from which a router got a change.
 enum class ChangeSource { Table, Peer };
 
-/// A configuration with the last changes that led to it. Versions only grow, without gaps.
-class KnownChanges
+/// A configuration and the last changes that led to it. Its version only grows. The kept changes
+/// have consecutive versions.
+class ConfigurationHistory
 {
 public:
-    explicit KnownChanges(std::size_t largestCount);
+    /// Keeps at most \a maxChanges changes.
+    explicit ConfigurationHistory(std::size_t maxChanges);
 
     const Settings::Configuration &configuration() const { return m_configuration; }
     Settings::ConfigurationVersion version() const { return m_configuration.version(); }
 
-    /// Applies the change if it is the next one; returns whether it did.
+    /// Applies the change if its version is the next one. Returns whether it was applied.
     bool apply(const Settings::ConfigurationChange &change, ChangeSource source,
                Base::TimePoint now);
-    /// Takes the whole if it is newer; returns whether it did.
+    /// Replaces the configuration by a newer one and drops all kept changes. Returns whether
+    /// \a configuration was newer.
     bool replace(const Settings::Configuration &configuration);
 
-    /// Changes after \a version in order; empty if they are not all kept.
+    /// Returns up to \a limit changes after \a version in order; empty if the first of them is
+    /// not kept.
     std::vector<Settings::ConfigurationChange> after(Settings::ConfigurationVersion version,
                                                      std::size_t limit) const;
-    /// Whether the change next to \a version is kept, and either from the table or older than
-    /// \a patience.
-    bool isToPush(Settings::ConfigurationVersion version, Base::Duration patience,
-                  Base::TimePoint now) const;
-    /// Whether the class was set or removed after version \a seen. True too if that cannot be
-    /// told any more: the operator reads again and loses nothing.
-    bool isChangedAfter(const Base::ClassId &name, Settings::ConfigurationVersion seen) const;
+    /// Whether the change that follows \a version is kept and was either read from the table or
+    /// learned at least \a relayDelay ago.
+    bool shouldPush(Settings::ConfigurationVersion version, Base::Duration relayDelay,
+                    Base::TimePoint now) const;
+    /// Whether the class was set or removed after version \a seen. Also true if the changes that
+    /// would tell are no longer kept; the operator then only has to read the class again.
+    bool mayHaveChangedAfter(const Base::ClassId &name, Settings::ConfigurationVersion seen) const;
 
 private:
-    struct Known
+    /// A kept change.
+    struct Entry
     {
         Settings::ConfigurationChange change;
         ChangeSource source = ChangeSource::Peer;
-        Base::TimePoint at;
+        Base::TimePoint learnedAt;
     };
 
-    const Known *next(Settings::ConfigurationVersion version) const;
+    /// Returns the change that follows \a version, or null if it is not kept.
+    const Entry *entryAfter(Settings::ConfigurationVersion version) const;
 
-    std::size_t m_largestCount;
+    std::size_t m_maxChanges;
     Settings::Configuration m_configuration;
-    std::deque<Known> m_changes;
+    std::deque<Entry> m_changes;
 };
 
 } // namespace Coordination
--- a/src/libs/coordination/targetwriter.cpp
+++ b/src/libs/coordination/targetwriter.cpp
@@ -11,6 +11,7 @@
 
 using Storage::TableStatus;
 
+/// Returns the version in the head row: 0 if there is no row, nullopt if it is malformed.
 std::optional<Settings::ConfigurationVersion> headVersionOf(const Storage::TableOutcome &outcome)
 {
     if (outcome.rows.empty())
@@ -35,11 +36,11 @@
 {}
 
 void TargetWriter::write(std::uint64_t handle, const Settings::ClassTarget &target,
-                         Settings::ConfigurationVersion seen, const KnownChanges &known,
+                         Settings::ConfigurationVersion seen, const ConfigurationHistory &history,
                          Base::TimePoint now)
 {
-    if (known.isChangedAfter(target.name, seen)) {
-        m_results.push_back({handle, TargetWriteStatus::LostRace, known.version()});
+    if (history.mayHaveChangedAfter(target.name, seen)) {
+        m_results.push_back({handle, TargetWriteStatus::LostRace, history.version()});
         return;
     }
     Write write;
@@ -78,7 +79,7 @@
         readBack(write);
 }
 
-bool TargetWriter::handle(const Storage::TableOutcome &outcome, KnownChanges &known,
+bool TargetWriter::handle(const Storage::TableOutcome &outcome, ConfigurationHistory &history,
                           Base::TimePoint now)
 {
     if (m_writes.empty() || m_writes.front().operation != outcome.operation)
@@ -86,16 +87,16 @@
     Write &write = m_writes.front();
     switch (write.stage) {
     case Stage::ReadHead:
-        tookHead(write, outcome, known);
+        handleHead(write, outcome, history);
         break;
     case Stage::CatchUp:
-        tookChanges(write, outcome, known, now);
+        handleChanges(write, outcome, history, now);
         break;
     case Stage::Transact:
-        tookTransaction(write, outcome, known, now);
+        handleTransaction(write, outcome, history, now);
         break;
     case Stage::ReadBack:
-        tookRow(write, outcome, known, now);
+        handleRow(write, outcome, history, now);
         break;
     case Stage::Waiting:
     case Stage::Pause:
@@ -117,66 +118,67 @@
     m_table->read(write.operation, Settings::headKey);
 }
 
-void TargetWriter::tookHead(Write &write, const Storage::TableOutcome &outcome,
-                            const KnownChanges &known)
+void TargetWriter::handleHead(Write &write, const Storage::TableOutcome &outcome,
+                              const ConfigurationHistory &history)
 {
     const std::optional<Settings::ConfigurationVersion> version = headVersionOf(outcome);
     if (outcome.status != TableStatus::Done || !version) {
-        finishUnreached(write, known);
+        finishUnreachable(write, history);
         return;
     }
     write.headVersion = *version;
     write.headRow = outcome.rows.empty() ? Storage::absentRow : outcome.rows.front().version;
-    catchUp(write, known);
+    catchUp(write, history);
 }
 
-void TargetWriter::catchUp(Write &write, const KnownChanges &known)
+void TargetWriter::catchUp(Write &write, const ConfigurationHistory &history)
 {
-    if (write.headVersion <= known.version()) {
-        tryWrite(write, known);
+    if (write.headVersion <= history.version()) {
+        checkAndTransact(write, history);
         return;
     }
     write.stage = Stage::CatchUp;
     write.operation = m_operations->next();
-    m_table->scan(write.operation, Settings::changePrefix, Settings::changeKey(known.version()),
+    m_table->scan(write.operation, Settings::changePrefix, Settings::changeKey(history.version()),
                   m_policy.pollLimit);
 }
 
-void TargetWriter::tookChanges(Write &write, const Storage::TableOutcome &outcome,
-                               KnownChanges &known, Base::TimePoint now)
+void TargetWriter::handleChanges(Write &write, const Storage::TableOutcome &outcome,
+                                 ConfigurationHistory &history, Base::TimePoint now)
 {
-    const Settings::ConfigurationVersion before = known.version();
+    const Settings::ConfigurationVersion before = history.version();
     for (const Storage::TableRow &row : outcome.rows) {
         auto change = Settings::decodeChange(Settings::versionOfKey(row.key), row.value);
         if (change)
-            known.apply(*change, ChangeSource::Table, now);
+            history.apply(*change, ChangeSource::Table, now);
     }
-    const bool isStuck = known.version() == before && known.version() < write.headVersion;
+    const bool isStuck = history.version() == before && history.version() < write.headVersion;
     if (outcome.status != TableStatus::Done || isStuck) {
-        finishUnreached(write, known);
+        finishUnreachable(write, history);
         return;
     }
-    catchUp(write, known);
+    catchUp(write, history);
 }
 
-void TargetWriter::tryWrite(Write &write, const KnownChanges &known)
+void TargetWriter::checkAndTransact(Write &write, const ConfigurationHistory &history)
 {
-    if (known.isChangedAfter(write.target.name, write.seen) || write.seen > known.version()) {
-        finish(TargetWriteStatus::LostRace, known.version());
+    if (history.mayHaveChangedAfter(write.target.name, write.seen)
+        || write.seen > history.version()) {
+        finish(TargetWriteStatus::LostRace, history.version());
         return;
     }
-    if (write.headVersion < known.version()) {
-        // Changes came from peers while the head was read, or the table was set back. The
-        // first is over by the next reading; the second must not be written onto.
-        if (write.version == known.version() + 1) {
-            finishUnreached(write, known);
+    if (write.headVersion < history.version()) {
+        // Either peers have sent changes while the head was read, which another read resolves, or
+        // the table was reset to an older state, which must not be written to.
+        if (write.version == history.version() + 1) {
+            finishUnreachable(write, history);
             return;
         }
-        write.version = known.version() + 1;
+        write.version = history.version() + 1;
         readHead(write);
         return;
     }
-    write.version = known.version() + 1;
+    write.version = history.version() + 1;
     transact(write);
 }
 
@@ -191,15 +193,15 @@
                         Settings::encodeChange(change, write.token), Storage::absentRow}});
 }
 
-void TargetWriter::tookTransaction(Write &write, const Storage::TableOutcome &outcome,
-                                   KnownChanges &known, Base::TimePoint now)
+void TargetWriter::handleTransaction(Write &write, const Storage::TableOutcome &outcome,
+                                     ConfigurationHistory &history, Base::TimePoint now)
 {
     switch (outcome.status) {
     case TableStatus::Done:
-        accept(write, known, now);
+        accept(write, history, now);
         return;
     case TableStatus::Conflict:
-        // After a lost answer the head may have been moved by the lost transaction itself.
+        // After a lost answer the lost transaction itself may have moved the head.
         write.isHeadMoved = true;
         if (write.isInDoubt)
             readBack(write);
@@ -210,7 +212,7 @@
         if (write.isInDoubt)
             pause(write, now);
         else
-            finish(TargetWriteStatus::Unavailable, known.version());
+            finish(TargetWriteStatus::Unavailable, history.version());
         return;
     case TableStatus::Unknown:
         write.isInDoubt = true;
@@ -222,7 +224,7 @@
 void TargetWriter::pause(Write &write, Base::TimePoint now)
 {
     write.stage = Stage::Pause;
-    write.pausedUntil = now + m_policy.writeRetry;
+    write.pausedUntil = now + m_policy.writeRetryInterval;
 }
 
 void TargetWriter::readBack(Write &write)
@@ -232,8 +234,8 @@
     m_table->read(write.operation, Settings::changeKey(write.version));
 }
 
-void TargetWriter::tookRow(Write &write, const Storage::TableOutcome &outcome, KnownChanges &known,
-                           Base::TimePoint now)
+void TargetWriter::handleRow(Write &write, const Storage::TableOutcome &outcome,
+                             ConfigurationHistory &history, Base::TimePoint now)
 {
     const bool isMissing = outcome.rows.empty() && write.isHeadMoved;
     if (outcome.status != TableStatus::Done || isMissing) {
@@ -245,26 +247,26 @@
         return;
     }
     if (Settings::tokenOf(outcome.rows.front().value) == write.token) {
-        accept(write, known, now);
+        accept(write, history, now);
         return;
     }
-    // Another's change has this version: the head has moved, so the lost transaction can no
-    // longer take effect.
+    // Another writer's change has this version, so the head has moved and the lost transaction
+    // can no longer take effect.
     write.isInDoubt = false;
     readHead(write);
 }
 
-void TargetWriter::accept(Write &write, KnownChanges &known, Base::TimePoint now)
+void TargetWriter::accept(Write &write, ConfigurationHistory &history, Base::TimePoint now)
 {
-    known.apply({write.version, write.target}, ChangeSource::Table, now);
+    history.apply({write.version, write.target}, ChangeSource::Table, now);
     finish(TargetWriteStatus::Accepted, write.version);
 }
 
-void TargetWriter::finishUnreached(const Write &write, const KnownChanges &known)
+void TargetWriter::finishUnreachable(const Write &write, const ConfigurationHistory &history)
 {
     const auto status =
         write.isInDoubt ? TargetWriteStatus::Unknown : TargetWriteStatus::Unavailable;
-    finish(status, known.version());
+    finish(status, history.version());
 }
 
 void TargetWriter::finish(TargetWriteStatus status, Settings::ConfigurationVersion version)
--- a/src/libs/coordination/targetwriter.h
+++ b/src/libs/coordination/targetwriter.h
@@ -15,43 +15,50 @@
 
 namespace Coordination {
 
-/// What a write of a target came to.
+/// Result of writing a target.
 enum class TargetWriteStatus {
     Accepted,
     LostRace,    ///< The class changed after the version that the operator had seen.
-    Unavailable, ///< Known not to be written.
-    Unknown,     ///< The answer was lost and could not be read back; it may yet be written.
+    Unavailable, ///< The target was certainly not written.
+    Unknown,     ///< The answer was lost and could not be read back; the target may be written.
 };
 
 struct TargetWriteResult
 {
-    /// Handle that the caller of writeTarget() gave.
+    /// The handle that was passed to writeTarget().
     std::uint64_t handle = 0;
     TargetWriteStatus status = TargetWriteStatus::Unavailable;
+    /// Version of the change if accepted, otherwise the version known here; 0 after a timeout.
     Settings::ConfigurationVersion version = 0;
 };
 
-/// Brings operators' targets into the table, one at a time: read the head, catch up, check that
-/// the class is as the operator saw it, then move the head and add the change's row in one
-/// transaction that demands that the head has not moved.
+/// Writes operators' targets to the table, one at a time. A write reads the head row (the newest
+/// version), catches up with it and checks that the class has not changed since the operator read
+/// it. One transaction then increments the head and adds the row of the change, on condition that
+/// the head row is unchanged.
 ///
-/// Failures it stops: two operators race (the transaction of the later one meets a moved head;
-/// it is tried again if the other wrote another class, and is a lost race if it wrote the same);
-/// an answer is lost after the write took effect (the row of that version is read back and
-/// known again by the token in it). An absent row proves nothing, since the write may still be
-/// on its way; so the very same transaction is sent again. Both demand the same version of the
-/// head, hence at most one of them takes effect.
+/// - If two operators race, the later transaction fails because the head has moved. It is retried
+///   if the other operator wrote another class, and is a lost race if it wrote the same class.
+/// - If an answer is lost, the row of that version is read back; the token in it tells whose write
+///   it is. A missing row proves nothing, because the write may still be on its way, so the same
+///   transaction is sent again. At most one of the two takes effect, because both require the
+///   same version of the head row.
 class TargetWriter
 {
 public:
     TargetWriter(const ConfigurationPolicy &policy, Storage::TableService &table,
                  Storage::OperationIds &operations, const std::string &writer);
 
+    /// Queues a write; fails it at once if the class may have changed after version \a seen.
     void write(std::uint64_t handle, const Settings::ClassTarget &target,
-               Settings::ConfigurationVersion seen, const KnownChanges &known, Base::TimePoint now);
+               Settings::ConfigurationVersion seen, const ConfigurationHistory &history,
+               Base::TimePoint now);
+    /// Ends writes whose deadline has passed and resumes a paused one.
     void advance(Base::TimePoint now);
-    /// Whether the outcome was an answer to this part's call.
-    bool handle(const Storage::TableOutcome &outcome, KnownChanges &known, Base::TimePoint now);
+    /// Processes the outcome of a call. Returns whether the call was one of the current write's.
+    bool handle(const Storage::TableOutcome &outcome, ConfigurationHistory &history,
+                Base::TimePoint now);
+    /// Returns the results of finished writes and removes them.
     std::vector<TargetWriteResult> takeResults();
 
 private:
@@ -66,41 +73,48 @@
         Base::TimePoint deadline;
         Stage stage = Stage::Waiting;
         Storage::OperationId operation = 0;
-        /// Version and head row of the transaction sent last.
+        /// Version that the last transaction writes.
         Settings::ConfigurationVersion version = 0;
+        /// Row version of the head, which the transaction requires to be unchanged.
         Storage::RowVersion headRow = Storage::absentRow;
+        /// Configuration version in the head.
         Settings::ConfigurationVersion headVersion = 0;
-        /// A transaction was sent whose outcome is not known.
+        /// Whether the outcome of a sent transaction is unknown.
         bool isInDoubt = false;
-        /// While in doubt: the head has moved, so the row of this version must be there.
+        /// Whether the head has moved since it was read. While in doubt this implies that the row
+        /// of this version exists.
         bool isHeadMoved = false;
         Base::TimePoint pausedUntil;
     };
 
     void startNext();
     void readHead(Write &write);
-    void catchUp(Write &write, const KnownChanges &known);
+    void catchUp(Write &write, const ConfigurationHistory &history);
     void transact(Write &write);
     void readBack(Write &write);
     void pause(Write &write, Base::TimePoint now);
-    void tryWrite(Write &write, const KnownChanges &known);
-    void tookHead(Write &write, const Storage::TableOutcome &outcome, const KnownChanges &known);
-    void tookChanges(Write &write, const Storage::TableOutcome &outcome, KnownChanges &known,
-                     Base::TimePoint now);
-    void tookTransaction(Write &write, const Storage::TableOutcome &outcome, KnownChanges &known,
-                         Base::TimePoint now);
-    void tookRow(Write &write, const Storage::TableOutcome &outcome, KnownChanges &known,
-                 Base::TimePoint now);
-    void accept(Write &write, KnownChanges &known, Base::TimePoint now);
+    /// Sends the transaction if the class is unchanged and the head is as known here.
+    void checkAndTransact(Write &write, const ConfigurationHistory &history);
+    void handleHead(Write &write, const Storage::TableOutcome &outcome,
+                    const ConfigurationHistory &history);
+    void handleChanges(Write &write, const Storage::TableOutcome &outcome,
+                       ConfigurationHistory &history, Base::TimePoint now);
+    void handleTransaction(Write &write, const Storage::TableOutcome &outcome,
+                           ConfigurationHistory &history, Base::TimePoint now);
+    void handleRow(Write &write, const Storage::TableOutcome &outcome,
+                   ConfigurationHistory &history, Base::TimePoint now);
+    void accept(Write &write, ConfigurationHistory &history, Base::TimePoint now);
     void finish(TargetWriteStatus status, Settings::ConfigurationVersion version);
-    void finishUnreached(const Write &write, const KnownChanges &known);
+    /// Ends the write because the table gave no usable answer; the result is Unknown if the write
+    /// is in doubt and Unavailable otherwise.
+    void finishUnreachable(const Write &write, const ConfigurationHistory &history);
 
     ConfigurationPolicy m_policy;
     Storage::TableService *m_table;
     Storage::OperationIds *m_operations;
     std::string m_writer;
     std::uint64_t m_lastToken = 0;
-    /// The first is under way.
+    /// Queue of writes; the first one is in progress.
     std::deque<Write> m_writes;
     std::vector<TargetWriteResult> m_results;
 };
