--- a/tests/auto/coordination/tst_configurationreplica.cpp
+++ b/tests/auto/coordination/tst_configurationreplica.cpp
@@ -15,39 +15,40 @@
 using namespace Coordination;
 using Settings::ConfigurationVersion;
 
-/// The object store as one copy of the truth, with answers that wait.
-class Objects final : public Storage::ObjectStore
+/// An object store on a map that several routers share. Its answers wait until the test delivers
+/// them.
+class ManualObjectStore final : public Storage::ObjectStore
 {
 public:
-    explicit Objects(std::map<std::string, std::string> &values)
-        : m_values(&values)
+    explicit ManualObjectStore(std::map<std::string, std::string> &storedObjects)
+        : m_storedObjects(&storedObjects)
     {}
     void put(Storage::OperationId operation, const std::string &key,
              const std::string &value) override
     {
-        (*m_values)[key] = value;
+        (*m_storedObjects)[key] = value;
         answers.push_back({operation, Storage::ObjectStatus::Done, {}});
     }
     void get(Storage::OperationId operation, const std::string &key) override
     {
-        const bool isThere = m_values->count(key) > 0;
+        const bool isThere = m_storedObjects->count(key) > 0;
         answers.push_back({operation,
                            isThere ? Storage::ObjectStatus::Done : Storage::ObjectStatus::Missing,
-                           isThere ? m_values->at(key) : std::string()});
+                           isThere ? m_storedObjects->at(key) : std::string()});
     }
 
     std::deque<Storage::ObjectOutcome> answers;
 
 private:
-    std::map<std::string, std::string> *m_values;
+    std::map<std::string, std::string> *m_storedObjects;
 };
 
 struct Router
 {
-    Router(Fakes::Table &truth, std::map<std::string, std::string> &values, const std::string &name,
-           const ConfigurationPolicy &policy)
-        : table(truth)
-        , objects(values)
+    Router(Fakes::Table &sharedTable, std::map<std::string, std::string> &storedObjects,
+           const std::string &name, const ConfigurationPolicy &policy)
+        : table(sharedTable)
+        , objects(storedObjects)
         , replica(*ConfigurationReplica::create(policy, table, objects, operations, name))
     {}
 
@@ -55,7 +56,7 @@
     {
         replica.handle(table.end(at, fate), now);
     }
-    /// Advances and answers all calls until none waits.
+    /// Advances and answers all calls with \a fate until none waits.
     void settle(Base::TimePoint now, Fakes::Fate fate)
     {
         replica.advance(now);
@@ -71,18 +72,19 @@
 
     Storage::OperationIds operations;
     Fakes::ManualTable table;
-    Objects objects;
+    ManualObjectStore objects;
     ConfigurationReplica replica;
 };
 
-struct AskedWrite
+struct RequestedWrite
 {
     std::string name;
     ConfigurationVersion seen = 0;
     int startWithin = 0;
 };
 
-/// Several routers, one table, and what operators asked and were told.
+/// Several routers with one shared table, and the writes that operators have requested with their
+/// results.
 class Operators
 {
 public:
@@ -96,27 +98,27 @@
     void restart(std::size_t i)
     {
         const std::string name = "r" + std::to_string(i) + '-' + std::to_string(++m_starts);
-        routers[i] = std::make_unique<Router>(truth, objects, name, policy);
+        routers[i] = std::make_unique<Router>(sharedTable, objects, name, policy);
         routers[i]->replica.advance(now);
     }
 
-    void ask(std::size_t at, int workClass, ConfigurationVersion age)
+    void requestWrite(std::size_t at, int workClass, ConfigurationVersion age)
     {
         ConfigurationReplica &replica = routers[at]->replica;
         const ConfigurationVersion version = replica.configuration().version();
         const std::uint64_t handle = ++m_lastHandle;
         const std::string name = "class" + std::to_string(workClass);
-        asked[handle] = {name, version - std::min(version, age), int(handle)};
+        requested[handle] = {name, version - std::min(version, age), int(handle)};
         replica.writeTarget(handle,
                             {Base::ClassId(name), Base::Milliseconds(int(handle)), std::nullopt},
-                            asked[handle].seen, now);
+                            requested[handle].seen, now);
     }
 
-    void collect()
+    void collectResults()
     {
         for (auto &router : routers) {
             for (const TargetWriteResult &result : router->replica.takeWriteResults())
-                told[result.handle].push_back(result);
+                results[result.handle].push_back(result);
         }
     }
 
@@ -125,7 +127,7 @@
     {
         ConfigurationVersion effect = 0;
         for (const auto &[version, target] : history()) {
-            if (target.startWithin.count() != asked.at(handle).startWithin)
+            if (target.startWithin.count() != requested.at(handle).startWithin)
                 continue;
             RC_ASSERT(effect == 0);
             effect = version;
@@ -136,7 +138,7 @@
     std::map<ConfigurationVersion, Settings::ClassTarget> history() const
     {
         std::map<ConfigurationVersion, Settings::ClassTarget> targets;
-        for (const auto &[key, row] : truth.rows) {
+        for (const auto &[key, row] : sharedTable.rows) {
             const ConfigurationVersion version = Settings::versionOfKey(key);
             if (version == 0)
                 continue;
@@ -146,7 +148,7 @@
         return targets;
     }
 
-    Settings::Configuration replay(ConfigurationVersion to) const
+    Settings::Configuration configurationAt(ConfigurationVersion to) const
     {
         Settings::Configuration configuration;
         for (const auto &[version, target] : history()) {
@@ -167,11 +169,11 @@
     }
 
     ConfigurationPolicy policy;
-    Fakes::Table truth;
+    Fakes::Table sharedTable;
     std::map<std::string, std::string> objects;
     std::vector<std::unique_ptr<Router>> routers;
-    std::map<std::uint64_t, AskedWrite> asked;
-    std::map<std::uint64_t, std::vector<TargetWriteResult>> told;
+    std::map<std::uint64_t, RequestedWrite> requested;
+    std::map<std::uint64_t, std::vector<TargetWriteResult>> results;
     Base::TimePoint now{1s};
     bool hasSnapshot = false;
 
@@ -186,10 +188,11 @@
     Router &router = *operators.routers[at];
     const int what = *rc::gen::inRange(0, 16);
     if (what == 0 && *rc::gen::inRange(0, 4) == 0) {
-        operators.collect();
+        operators.collectResults();
         operators.restart(at);
     } else if (what <= 3) {
-        operators.ask(at, *rc::gen::inRange(0, 2), *rc::gen::inRange<ConfigurationVersion>(0, 3));
+        operators.requestWrite(at, *rc::gen::inRange(0, 2),
+                               *rc::gen::inRange<ConfigurationVersion>(0, 3));
     } else if (what == 4) {
         operators.now += std::chrono::milliseconds(*rc::gen::inRange(1, 1500));
         for (auto &each : operators.routers)
@@ -216,37 +219,39 @@
                                                     {2, Fakes::Fate::LostAndLate}});
         router.answer(call, fate, operators.now);
     }
-    operators.collect();
+    operators.collectResults();
 }
 
-void checkTold(const Operators &operators)
+void checkResults(const Operators &operators)
 {
-    for (const auto &[handle, results] : operators.told) {
-        RC_ASSERT(results.size() == 1);
-        const TargetWriteResult &result = results.front();
-        const AskedWrite &asked = operators.asked.at(handle);
+    for (const auto &[handle, writeResults] : operators.results) {
+        RC_ASSERT(writeResults.size() == 1);
+        const TargetWriteResult &result = writeResults.front();
+        const RequestedWrite &requested = operators.requested.at(handle);
         const ConfigurationVersion effect = operators.effectOf(handle);
         if (result.status == TargetWriteStatus::Accepted)
             RC_ASSERT(effect == result.version);
         if (result.status == TargetWriteStatus::LostRace
             || result.status == TargetWriteStatus::Unavailable)
             RC_ASSERT(effect == 0);
-        // Behind a snapshot it cannot be told whether a class that is not there was removed.
-        const bool isTold = operators.replay(result.version).target(Base::ClassId(asked.name))
-                            || !operators.hasSnapshot;
-        if (result.status == TargetWriteStatus::LostRace && isTold)
-            RC_ASSERT(operators.isChanged(asked.name, asked.seen, ~ConfigurationVersion(0)));
+        // After a snapshot it cannot be decided whether a class that does not exist was removed.
+        const bool isVerifiable =
+            operators.configurationAt(result.version).target(Base::ClassId(requested.name))
+            || !operators.hasSnapshot;
+        if (result.status == TargetWriteStatus::LostRace && isVerifiable)
+            RC_ASSERT(
+                operators.isChanged(requested.name, requested.seen, ~ConfigurationVersion(0)));
         if (effect != 0)
-            RC_ASSERT(!operators.isChanged(asked.name, asked.seen, effect));
+            RC_ASSERT(!operators.isChanged(requested.name, requested.seen, effect));
     }
 }
 
 } // namespace
 
-// Operators race at several routers while the table loses answers, answers late and refuses.
-// One would see "saved" for a target that is not there, "failed" for one that is, or a target
-// that goes back; the causes are lost answers, stale reads and a head that has moved.
-TEST_CASE("operators are told the truth and no router's copy goes back", "[configuration]")
+// Guards against wrong results and reverted targets: operators race at several routers while the
+// table loses answers, answers late or refuses. Lost answers, stale reads or a moved head could
+// report a target as written that is not, or as failed that is written, or make a copy revert.
+TEST_CASE("operators get true results and no router's copy reverts", "[configuration]")
 {
     rc::prop("writes, copies and answers agree with the table", [] {
         Operators operators(3);
@@ -263,52 +268,53 @@
                 if (before[at] == operators.routers[at].get())
                     RC_ASSERT(copy.version() >= last[at]);
                 last[at] = copy.version();
-                RC_ASSERT(copy == operators.replay(copy.version()));
+                RC_ASSERT(copy == operators.configurationAt(copy.version()));
             }
         }
-        // All comes through again: late writes land, every write gets its answer.
+        // The faults end: late writes take effect and every write gets its answer.
         for (int i = 0; i < 12; ++i) {
             operators.now += 1s;
             for (auto &router : operators.routers) {
                 router->table.flushLate();
                 router->settle(operators.now, Fakes::Fate::Answered);
             }
-            operators.collect();
+            operators.collectResults();
         }
-        checkTold(operators);
+        checkResults(operators);
         const ConfigurationVersion newest = operators.history().size();
         for (auto &router : operators.routers)
             RC_ASSERT(router->replica.configuration().version() == newest);
     });
 }
 
-TEST_CASE("a lost answer is read back and told as accepted, once", "[configuration]")
+TEST_CASE("a write whose answer was lost is read back and reported as accepted once",
+          "[configuration]")
 {
     Operators operators(1);
     Router &router = *operators.routers[0];
     router.settle(operators.now, Fakes::Fate::Answered);
-    operators.ask(0, 0, 0);
+    operators.requestWrite(0, 0, 0);
     router.answer(0, Fakes::Fate::Answered, operators.now);
     router.answer(0, Fakes::Fate::LostAfter, operators.now);
-    operators.collect();
-    CHECK(operators.told.empty());
+    operators.collectResults();
+    CHECK(operators.results.empty());
     operators.now += 300ms;
     router.settle(operators.now, Fakes::Fate::Answered);
-    operators.collect();
-    REQUIRE(operators.told[1].size() == 1);
-    CHECK(operators.told[1][0].status == TargetWriteStatus::Accepted);
+    operators.collectResults();
+    REQUIRE(operators.results[1].size() == 1);
+    CHECK(operators.results[1][0].status == TargetWriteStatus::Accepted);
     CHECK(operators.history().size() == 1);
 }
 
-// The first transaction is slow; its row is not there when it is looked for, so it is sent
-// again, and meets the head that the first one has moved meanwhile.
-TEST_CASE("a write that lands while it is sent again is accepted, not a lost race",
+// The first transaction is slow. Its row is missing when it is read back, so the transaction is
+// sent again and fails because the first one has moved the head meanwhile.
+TEST_CASE("a write that takes effect while it is sent again is accepted, not a lost race",
           "[configuration]")
 {
     Operators operators(1);
     Router &router = *operators.routers[0];
     router.settle(operators.now, Fakes::Fate::Answered);
-    operators.ask(0, 0, 0);
+    operators.requestWrite(0, 0, 0);
     router.answer(0, Fakes::Fate::Answered, operators.now);
     router.answer(0, Fakes::Fate::LostAndLate, operators.now);
     operators.now += 300ms;
@@ -316,63 +322,64 @@
     router.answer(0, Fakes::Fate::Answered, operators.now);
     router.table.flushLate();
     router.settle(operators.now, Fakes::Fate::Answered);
-    operators.collect();
-    REQUIRE(operators.told[1].size() == 1);
-    CHECK(operators.told[1][0].status == TargetWriteStatus::Accepted);
+    operators.collectResults();
+    REQUIRE(operators.results[1].size() == 1);
+    CHECK(operators.results[1][0].status == TargetWriteStatus::Accepted);
 }
 
-TEST_CASE("a write whose answer does not come in time is told as unknown", "[configuration]")
+TEST_CASE("a write without an answer before the deadline is reported as unknown", "[configuration]")
 {
     Operators operators(1);
     Router &router = *operators.routers[0];
     router.settle(operators.now, Fakes::Fate::Answered);
-    operators.ask(0, 0, 0);
+    operators.requestWrite(0, 0, 0);
     router.answer(0, Fakes::Fate::Answered, operators.now);
     router.replica.advance(operators.now + operators.policy.writeDeadline);
-    operators.collect();
-    REQUIRE(operators.told[1].size() == 1);
-    CHECK(operators.told[1][0].status == TargetWriteStatus::Unknown);
+    operators.collectResults();
+    REQUIRE(operators.results[1].size() == 1);
+    CHECK(operators.results[1][0].status == TargetWriteStatus::Unknown);
 }
 
-// One operator removes a class; another, who still sees it, sets it through a router that
-// has only a snapshot. The class must not come back.
+// Guards against a removed class that reappears: one operator removes it, and another, who still
+// sees it, sets it through a router that has only a snapshot.
 TEST_CASE("a class that may have been removed since is not written", "[configuration]")
 {
     Operators operators(1);
     Settings::Configuration snapshot;
     snapshot.setVersion(7);
     operators.routers[0]->replica.learnSnapshot(snapshot);
-    operators.ask(0, 0, 1);
-    operators.collect();
-    REQUIRE(operators.told[1].size() == 1);
-    CHECK(operators.told[1][0].status == TargetWriteStatus::LostRace);
+    operators.requestWrite(0, 0, 1);
+    operators.collectResults();
+    REQUIRE(operators.results[1].size() == 1);
+    CHECK(operators.results[1][0].status == TargetWriteStatus::LostRace);
 }
 
-TEST_CASE("two operators at two routers do not disturb each other's classes", "[configuration]")
+TEST_CASE("two operators at two routers can write different classes at the same time",
+          "[configuration]")
 {
     Operators operators(2);
     for (auto &router : operators.routers)
         router->settle(operators.now, Fakes::Fate::Answered);
-    operators.ask(0, 0, 0);
-    operators.ask(1, 1, 0);
+    operators.requestWrite(0, 0, 0);
+    operators.requestWrite(1, 1, 0);
     for (auto &router : operators.routers) {
         router->answer(0, Fakes::Fate::Answered, operators.now);
     }
     for (auto &router : operators.routers)
         router->settle(operators.now, Fakes::Fate::Answered);
-    operators.collect();
-    CHECK(operators.told[1][0].status == TargetWriteStatus::Accepted);
-    CHECK(operators.told[2][0].status == TargetWriteStatus::Accepted);
+    operators.collectResults();
+    CHECK(operators.results[1][0].status == TargetWriteStatus::Accepted);
+    CHECK(operators.results[2][0].status == TargetWriteStatus::Accepted);
 }
 
-// The table is down while a router starts: it must neither serve nothing nor an old state that
-// the first peer happens to have.
-TEST_CASE("a cold start with the table down takes the newest that its peers know",
+// The table is down while a router starts. The router must become ready from its peers, and must
+// not serve the old state of the first peer that answers.
+TEST_CASE("a cold start with the table down uses the newest configuration of its peers",
           "[configuration]")
 {
     Operators operators(3);
     for (int i = 0; i < 5; ++i) {
-        operators.ask(0, 0, 0);
+        operators.requestWrite(0, 0, 0);
         operators.routers[0]->settle(operators.now, Fakes::Fate::Answered);
     }
     const Settings::Configuration newest = operators.routers[0]->replica.configuration();
@@ -390,17 +397,18 @@
     cold.replica.learnSnapshot(newest);
     CHECK(cold.replica.isReady());
     CHECK(cold.replica.configuration() == newest);
-    // The table stays down: what is in force stays, and a write is told so at once.
-    operators.ask(2, 0, 0);
+    // The table stays down: the configuration stays in force, and a write fails at once.
+    operators.requestWrite(2, 0, 0);
     cold.settle(operators.now + 1s, Fakes::Fate::Refused);
-    operators.collect();
-    REQUIRE(operators.told[6].size() == 1);
-    CHECK(operators.told[6][0].status == TargetWriteStatus::Unavailable);
+    operators.collectResults();
+    REQUIRE(operators.results[6].size() == 1);
+    CHECK(operators.results[6][0].status == TargetWriteStatus::Unavailable);
     CHECK(cold.replica.configuration() == newest);
 }
 
-// 62,000 changes a day: the table must not grow for ever, and a cold start must not read all.
-TEST_CASE("old change rows are replaced by a snapshot, and a cold start finds its way",
+// With 62,000 changes a day the table must not grow without limit, and a cold start must not
+// read all changes.
+TEST_CASE("old change rows are replaced by a snapshot, from which a cold start recovers",
           "[configuration]")
 {
     Operators operators(2);
@@ -413,7 +421,7 @@
         operators.restart(i);
     for (int i = 0; i < 170; ++i) {
         operators.now += 61s;
-        operators.ask(0, i % 3, 0);
+        operators.requestWrite(0, i % 3, 0);
         operators.routers[0]->settle(operators.now, Fakes::Fate::Answered);
     }
     CHECK(operators.history().size() <= 50 + 20);
