--- a/src/libs/coordination/orderbook.cpp
+++ b/src/libs/coordination/orderbook.cpp
@@ -6,143 +6,147 @@
 
 namespace {
 
-constexpr Base::Duration stepInterval = std::chrono::milliseconds(200);
+/// Interval at which the servers' leases and orders are examined.
+constexpr Base::Duration advanceInterval = std::chrono::milliseconds(200);
 
 } // namespace
 
-Base::Result<OrderBook> OrderBook::create(const OrderPolicy &policy, Storage::TableService &table,
-                                          ModelServerOrders &orders,
-                                          Storage::OperationIds &operations,
-                                          const std::string &holder)
+Base::Result<OrderReconciler> OrderReconciler::create(const OrderPolicy &policy,
+                                                      Storage::TableService &table,
+                                                      OrderSender &sender,
+                                                      Storage::OperationIds &operations,
+                                                      const std::string &holder)
 {
     if (holder.empty() || policy.leaseLength / 2 <= policy.orderTimeout)
         return boost::leaf::new_error(InvalidOrderPolicy{});
-    return OrderBook(policy, table, orders, operations, holder);
+    return OrderReconciler(policy, table, sender, operations, holder);
 }
 
-OrderBook::OrderBook(const OrderPolicy &policy, Storage::TableService &table,
-                     ModelServerOrders &orders, Storage::OperationIds &operations,
-                     const std::string &holder)
+OrderReconciler::OrderReconciler(const OrderPolicy &policy, Storage::TableService &table,
+                                 OrderSender &sender, Storage::OperationIds &operations,
+                                 const std::string &holder)
     : m_policy(policy)
     , m_table(&table)
-    , m_orders(&orders)
+    , m_sender(&sender)
     , m_operations(&operations)
     , m_holder(holder)
 {}
 
-void OrderBook::setDuties(const std::vector<Base::ServerId> &servers, std::size_t routers)
+void OrderReconciler::setServers(const std::vector<Base::ServerId> &servers, std::size_t routers)
 {
-    m_routers = std::max<std::size_t>(routers, 1);
-    std::erase_if(m_duties, [&](const auto &duty) {
-        return std::find(servers.begin(), servers.end(), duty.first) == servers.end();
+    m_routerCount = std::max<std::size_t>(routers, 1);
+    std::erase_if(m_servers, [&](const auto &managed) {
+        return std::find(servers.begin(), servers.end(), managed.first) == servers.end();
     });
     for (const Base::ServerId &server : servers) {
-        if (m_duties.count(server) > 0)
+        if (m_servers.count(server) > 0)
             continue;
-        m_duties.emplace(server,
-                         Duty{OrderLease(m_policy, *m_table, *m_operations, m_holder, server),
-                              {},
-                              {},
-                              {},
-                              {},
-                              {},
-                              {}});
+        m_servers.emplace(
+            server, ManagedServer{OrderLease(m_policy, *m_table, *m_operations, m_holder, server),
+                                  {},
+                                  {},
+                                  {},
+                                  {},
+                                  {},
+                                  {}});
     }
 }
 
-void OrderBook::advance(Base::TimePoint now)
+void OrderReconciler::advance(Base::TimePoint now)
 {
     if (now < m_nextDue)
         return;
-    m_nextDue = now + stepInterval;
-    for (auto &[server, duty] : m_duties) {
-        readDesired(server, duty, now);
-        if (!duty.desired)
+    m_nextDue = now + advanceInterval;
+    for (auto &[server, managed] : m_servers) {
+        readDesired(server, managed, now);
+        if (!managed.desired)
             continue;
-        duty.lease.advance(duty.desired->number, now);
-        order(server, duty, now);
+        managed.lease.advance(managed.desired->number, now);
+        sendDueOrder(server, managed, now);
     }
 }
 
-void OrderBook::readDesired(const Base::ServerId &server, Duty &duty, Base::TimePoint now)
+void OrderReconciler::readDesired(const Base::ServerId &server, ManagedServer &managed,
+                                  Base::TimePoint now)
 {
-    if (now < duty.nextRead)
+    if (now < managed.nextRead)
         return;
-    duty.nextRead = now + m_policy.pollInterval;
-    duty.desiredRead = m_operations->next();
-    m_table->read(*duty.desiredRead, desiredPrefix + server.value());
+    managed.nextRead = now + m_policy.pollInterval;
+    managed.desiredRead = m_operations->next();
+    m_table->read(*managed.desiredRead, desiredPrefix + server.value());
 }
 
-bool OrderBook::handle(const Storage::TableOutcome &outcome, Base::TimePoint now)
+bool OrderReconciler::handle(const Storage::TableOutcome &outcome, Base::TimePoint now)
 {
-    for (auto &[server, duty] : m_duties) {
-        if (duty.desiredRead == outcome.operation) {
-            duty.desiredRead.reset();
-            tookDesired(duty, outcome);
+    for (auto &[server, managed] : m_servers) {
+        if (managed.desiredRead == outcome.operation) {
+            managed.desiredRead.reset();
+            handleDesired(managed, outcome);
             return true;
         }
-        if (duty.lease.handle(outcome, now))
+        if (managed.lease.handle(outcome, now))
             return true;
     }
     return false;
 }
 
-void OrderBook::tookDesired(Duty &duty, const Storage::TableOutcome &outcome)
+void OrderReconciler::handleDesired(ManagedServer &managed, const Storage::TableOutcome &outcome)
 {
     if (outcome.status != Storage::TableStatus::Done || outcome.rows.empty())
         return;
     const Storage::TableRow &row = outcome.rows.front();
     const std::optional<DesiredRow> desired = decodeDesired(row.value);
-    if (!desired || row.version <= duty.desiredVersion)
+    if (!desired || row.version <= managed.desiredVersion)
         return;
-    duty.desired = desired;
-    duty.desiredVersion = row.version;
+    managed.desired = desired;
+    managed.desiredVersion = row.version;
 }
 
-void OrderBook::order(const Base::ServerId &server, Duty &duty, Base::TimePoint now)
+void OrderReconciler::sendDueOrder(const Base::ServerId &server, ManagedServer &managed,
+                                   Base::TimePoint now)
 {
-    const DesiredRow &desired = *duty.desired;
+    const DesiredRow &desired = *managed.desired;
     const bool isLoad = desired.order.kind == OrderKind::LoadModel;
-    const std::optional<std::uint64_t> fence = duty.lease.fenceFor(desired.number, now);
-    if (!fence || now < duty.sentUntil || (isLoad && now < m_nextLoad))
+    const std::optional<std::uint64_t> fence = managed.lease.fenceFor(desired.number, now);
+    if (!fence || now < managed.sentUntil || (isLoad && now < m_nextLoad))
         return;
     if (isLoad)
-        m_nextLoad = now + m_policy.loadInterval * static_cast<long>(m_routers);
-    duty.sentFence = *fence;
-    duty.sentUntil = now + m_policy.orderTimeout;
-    m_orders->send(server, desired.order, *fence);
+        m_nextLoad = now + m_policy.loadInterval * static_cast<long>(m_routerCount);
+    managed.sentFence = *fence;
+    managed.sentUntil = now + m_policy.orderTimeout;
+    m_sender->send(server, desired.order, *fence);
 }
 
-void OrderBook::handle(const OrderOutcome &outcome, Base::TimePoint now)
+void OrderReconciler::handle(const OrderOutcome &outcome, Base::TimePoint now)
 {
-    const auto it = m_duties.find(outcome.server);
-    // A late answer to an order that was overtaken says nothing of the one under way.
-    if (it == m_duties.end() || it->second.sentFence != outcome.fence)
+    const auto it = m_servers.find(outcome.server);
+    // A late answer to an earlier order does not concern the one in progress.
+    if (it == m_servers.end() || it->second.sentFence != outcome.fence)
         return;
-    Duty &duty = it->second;
+    ManagedServer &managed = it->second;
     switch (outcome.status) {
     case OrderStatus::Done:
-        duty.lease.finish(now);
+        managed.lease.finish(now);
         break;
     case OrderStatus::OldFence:
-        duty.lease.lose();
+        managed.lease.invalidate();
         break;
     case OrderStatus::Limited:
         m_nextLoad = std::max(m_nextLoad, now + outcome.retryAfter);
-        duty.sentUntil = now;
+        managed.sentUntil = now;
         break;
     case OrderStatus::Failed:
-        duty.sentUntil = now + m_policy.retryInterval;
+        managed.sentUntil = now + m_policy.retryInterval;
         break;
     }
 }
 
-std::size_t OrderBook::openOrders() const
+std::size_t OrderReconciler::pendingOrders() const
 {
     return static_cast<std::size_t>(
-        std::count_if(m_duties.begin(), m_duties.end(), [](const auto &entry) {
-            const Duty &duty = entry.second;
-            return duty.desired && !duty.lease.isDone(duty.desired->number);
+        std::count_if(m_servers.begin(), m_servers.end(), [](const auto &entry) {
+            const ManagedServer &managed = entry.second;
+            return managed.desired && !managed.lease.isDone(managed.desired->number);
         }));
 }
 
--- a/src/libs/coordination/orderbook.h
+++ b/src/libs/coordination/orderbook.h
@@ -15,66 +15,74 @@
 
 namespace Coordination {
 
-/// An OrderPolicy that cannot work, or no name for the holder.
+/// Error of OrderReconciler::create(): half of OrderPolicy::leaseLength is not longer than
+/// orderTimeout, or the holder has no name.
 struct InvalidOrderPolicy
 {};
 
-/// Brings model servers to what the table says they shall have loaded or be.
+/// Reconciles model servers with the desired state in the table: sends them orders until they
+/// have loaded the model or taken the role that their row names.
 ///
-/// Load it answers: a model that must come up on many servers at once. The weight store is
-/// limited, so loads are started one at a time, at a pace that all routers share; without it
-/// the store would turn most away and each would try again at once.
+/// A model may have to be loaded by many servers at once, while the weight store serves a limited
+/// rate. All routers therefore share one pace for starting loads; without it the store would
+/// refuse most loads, which would all be retried at once.
 ///
-/// With a server that checks fences, an order that was overtaken is refused, whenever it
-/// arrives. With one that does not, a router never sends after the end of its own lease, but an
-/// order that left in time and was held up beyond it (docs/design/model-orders.md) can arrive
-/// after a newer one.
-class OrderBook
+/// A server that checks fences refuses an outdated order whenever it arrives. For a server that
+/// does not, a router never sends after the end of its lease, but an order that was sent in time
+/// and delayed beyond that can still arrive after a newer one (docs/design/model-orders.md).
+class OrderReconciler
 {
 public:
-    /// \a holder distinguishes this start of this router. Fails with InvalidOrderPolicy.
-    static Base::Result<OrderBook> create(const OrderPolicy &policy, Storage::TableService &table,
-                                          ModelServerOrders &orders,
-                                          Storage::OperationIds &operations,
-                                          const std::string &holder);
+    /// \a holder must be unique for this start of this router. Fails with InvalidOrderPolicy.
+    static Base::Result<OrderReconciler> create(const OrderPolicy &policy,
+                                                Storage::TableService &table, OrderSender &sender,
+                                                Storage::OperationIds &operations,
+                                                const std::string &holder);
 
-    /// Servers that this router orders now, and among how many routers the pace is shared.
-    void setDuties(const std::vector<Base::ServerId> &servers, std::size_t routers);
+    /// Sets the servers that this router sends orders to, and the number of routers that share the
+    /// pace of loads.
+    void setServers(const std::vector<Base::ServerId> &servers, std::size_t routers);
+    /// Reads desired rows, maintains leases and sends orders that are due.
     void advance(Base::TimePoint now);
+    /// Time of the next step.
     Base::TimePoint nextDue() const { return m_nextDue; }
-    /// Whether the outcome was an answer to this part's call.
+    /// Processes the outcome of a table call. Returns whether the call was the reconciler's.
     bool handle(const Storage::TableOutcome &outcome, Base::TimePoint now);
+    /// Processes a server's answer to an order.
     void handle(const OrderOutcome &outcome, Base::TimePoint now);
 
-    /// Orders that are not carried out yet, of this router's servers.
-    std::size_t openOrders() const;
+    /// Number of this router's servers whose order is not carried out yet.
+    std::size_t pendingOrders() const;
 
 private:
-    struct Duty
+    struct ManagedServer
     {
         OrderLease lease;
         std::optional<DesiredRow> desired;
         Storage::RowVersion desiredVersion = Storage::absentRow;
         std::optional<Storage::OperationId> desiredRead;
         Base::TimePoint nextRead;
-        /// Fence of the order that is under way, and until when it may be.
+        /// Fence of the last order that was sent.
         std::uint64_t sentFence = 0;
+        /// Time before which no further order is sent to the server.
         Base::TimePoint sentUntil;
     };
 
-    OrderBook(const OrderPolicy &policy, Storage::TableService &table, ModelServerOrders &orders,
-              Storage::OperationIds &operations, const std::string &holder);
-    void readDesired(const Base::ServerId &server, Duty &duty, Base::TimePoint now);
-    void tookDesired(Duty &duty, const Storage::TableOutcome &outcome);
-    void order(const Base::ServerId &server, Duty &duty, Base::TimePoint now);
+    OrderReconciler(const OrderPolicy &policy, Storage::TableService &table, OrderSender &sender,
+                    Storage::OperationIds &operations, const std::string &holder);
+    void readDesired(const Base::ServerId &server, ManagedServer &managed, Base::TimePoint now);
+    void handleDesired(ManagedServer &managed, const Storage::TableOutcome &outcome);
+    /// Sends the server's order if the lease is held, no other order is in progress and the pace
+    /// permits it.
+    void sendDueOrder(const Base::ServerId &server, ManagedServer &managed, Base::TimePoint now);
 
     OrderPolicy m_policy;
     Storage::TableService *m_table;
-    ModelServerOrders *m_orders;
+    OrderSender *m_sender;
     Storage::OperationIds *m_operations;
     std::string m_holder;
-    std::map<Base::ServerId, Duty> m_duties;
-    std::size_t m_routers = 1;
+    std::map<Base::ServerId, ManagedServer> m_servers;
+    std::size_t m_routerCount = 1;
     Base::TimePoint m_nextLoad{};
     Base::TimePoint m_nextDue{};
 };
--- a/src/libs/coordination/orderlease.cpp
+++ b/src/libs/coordination/orderlease.cpp
@@ -18,11 +18,11 @@
 {
     if (m_stage != Stage::Idle && now - m_calledAt >= m_policy.callTimeout) {
         m_stage = Stage::Idle;
-        m_isKnown = false;
+        m_isRowKnown = false;
     }
     if (m_stage != Stage::Idle || now < m_nextTry)
         return;
-    if (!m_isKnown) {
+    if (!m_isRowKnown) {
         read(now);
         return;
     }
@@ -63,8 +63,8 @@
     m_stage = Stage::Write;
     m_calledAt = now;
     m_operation = m_operations->next();
-    m_pending = row;
-    m_pendingAt = now;
+    m_pendingRow = row;
+    m_pendingSentAt = now;
     m_table->transact(m_operation, {{m_key, encodeOrderLease(row), m_rowVersion}});
 }
 
@@ -75,13 +75,13 @@
     const Stage stage = m_stage;
     m_stage = Stage::Idle;
     if (stage == Stage::Read)
-        tookRead(outcome, now);
+        handleRead(outcome, now);
     else
-        tookWrite(outcome, now);
+        handleWrite(outcome, now);
     return true;
 }
 
-void OrderLease::tookRead(const Storage::TableOutcome &outcome, Base::TimePoint now)
+void OrderLease::handleRead(const Storage::TableOutcome &outcome, Base::TimePoint now)
 {
     if (outcome.status != TableStatus::Done) {
         m_nextTry = now + m_policy.retryInterval;
@@ -89,8 +89,8 @@
     }
     const Storage::RowVersion version =
         outcome.rows.empty() ? Storage::absentRow : outcome.rows.front().version;
-    // An answer that was long under way shows an older row: it says nothing of the newer one.
-    if (m_isKnown && version <= m_rowVersion)
+    // An answer without a newer row, such as a delayed one, is ignored.
+    if (m_isRowKnown && version <= m_rowVersion)
         return;
     if (version != m_rowVersion) {
         const auto row = decodeOrderLease(outcome.rows.empty() ? "" : outcome.rows.front().value);
@@ -99,28 +99,28 @@
         m_seenAt = now;
         m_heldUntil.reset();
     }
-    m_isKnown = true;
-    // Only the very row that was written shows that the lost write took effect.
-    if (m_pending && *m_pending == m_row)
-        hold(m_pendingAt);
+    m_isRowKnown = true;
+    // A write whose answer was lost took effect only if the row is exactly the one written.
+    if (m_pendingRow && *m_pendingRow == m_row)
+        updateHeld(m_pendingSentAt);
 }
 
-void OrderLease::tookWrite(const Storage::TableOutcome &outcome, Base::TimePoint now)
+void OrderLease::handleWrite(const Storage::TableOutcome &outcome, Base::TimePoint now)
 {
     if (outcome.status == TableStatus::Done && !outcome.rows.empty()) {
-        m_row = *m_pending;
+        m_row = *m_pendingRow;
         m_rowVersion = outcome.rows.front().version;
         m_seenAt = now;
-        hold(m_pendingAt);
+        updateHeld(m_pendingSentAt);
         return;
     }
-    m_isKnown = false;
+    m_isRowKnown = false;
     m_nextTry = outcome.status == TableStatus::Conflict ? now : now + m_policy.retryInterval;
 }
 
-void OrderLease::hold(Base::TimePoint writtenAt)
+void OrderLease::updateHeld(Base::TimePoint writtenAt)
 {
-    m_pending.reset();
+    m_pendingRow.reset();
     m_heldUntil.reset();
     if (!m_row.isDone)
         m_heldUntil = writtenAt + m_policy.leaseLength;
@@ -136,7 +136,7 @@
 
 bool OrderLease::isDone(std::uint64_t number) const
 {
-    return m_isKnown && m_row.isDone && m_row.number >= number;
+    return m_isRowKnown && m_row.isDone && m_row.number >= number;
 }
 
 void OrderLease::finish(Base::TimePoint now)
@@ -149,10 +149,10 @@
     write(row, now);
 }
 
-void OrderLease::lose()
+void OrderLease::invalidate()
 {
     m_heldUntil.reset();
-    m_isKnown = false;
+    m_isRowKnown = false;
 }
 
 } // namespace Coordination
--- a/src/libs/coordination/orderlease.h
+++ b/src/libs/coordination/orderlease.h
@@ -12,32 +12,37 @@
 
 namespace Coordination {
 
+/// Intervals and timeouts of OrderReconciler and OrderLease.
 struct OrderPolicy
 {
-    /// How long a written lease lasts. Ten seconds cost a write every five for each server that
-    /// is being changed now, and let another router take over soon enough for a change that
-    /// takes minutes.
+    /// Duration of a lease. With ten seconds each server that is being changed costs one write
+    /// every five seconds, and another router takes over soon enough for a change that takes
+    /// minutes.
     Base::Duration leaseLength = std::chrono::seconds(10);
-    /// What an observer waits beyond it: clocks of two hosts that differ in rate by 5% still
-    /// agree that the lease is over.
+    /// Time that other routers wait after leaseLength. With this margin two hosts agree that the
+    /// lease is over even if the rates of their clocks differ by 5%.
     Base::Duration leaseMargin = std::chrono::milliseconds(500);
-    /// An order is on its way for this long at most, and is sent only if that much is left.
+    /// Longest time that an order may take. An order is sent only if the lease lasts that long.
     Base::Duration orderTimeout = std::chrono::seconds(2);
     Base::Duration retryInterval = std::chrono::seconds(1);
-    /// A call of the table without an answer for this long is not waited for.
+    /// Time after which a call of the table without an answer is given up.
     Base::Duration callTimeout = std::chrono::seconds(3);
+    /// Interval at which the desired row of each server is read.
     Base::Duration pollInterval = std::chrono::seconds(5);
-    /// The whole fleet starts one load of weights in this time: the weight store's limit.
+    /// Interval between two loads of model weights in the whole fleet, which is the limit of the
+    /// weight store.
     Base::Duration loadInterval = std::chrono::seconds(2);
 };
 
-/// The lease on one model server's orders, as one router sees and holds it.
+/// The lease that permits one router at a time to send orders to one model server, as this router
+/// sees and holds it.
 ///
-/// Failure it stops: two routers order one server at once, since one was paused or cut off and
-/// still believes it holds the lease; it shows as a server that loads what is no longer wanted.
-/// The guard holds without comparing clocks: the holder counts from before it sent the write,
-/// an observer from when it first saw the row, which is later, and waits longer. Whoever wakes
-/// from a pause finds its own end passed, by its own monotonic clock.
+/// It prevents two routers from sending orders to the same server because one of them was paused
+/// or disconnected and still believes that it holds the lease; the server would load what is no
+/// longer wanted. This needs no synchronized clocks: the holder counts the lease from before it
+/// sent the write, while other routers count from when they first saw the row, which is later, and
+/// also wait leaseMargin. A router that resumes after a pause sees by its own monotonic clock that
+/// its lease has expired.
 class OrderLease
 {
 public:
@@ -45,27 +50,32 @@
                Storage::OperationIds &operations, const std::string &holder,
                const Base::ServerId &server);
 
-    /// Takes, renews or watches the lease, so that it comes to be held for \a number.
+    /// Acquires, renews or reads the lease, with the goal to hold it for the order \a number.
     void advance(std::uint64_t number, Base::TimePoint now);
+    /// Processes the outcome of a call. Returns whether the call was the lease's.
     bool handle(const Storage::TableOutcome &outcome, Base::TimePoint now);
 
-    /// The fence under which an order with this number may be sent now; empty if none may.
+    /// Returns the fence with which the order \a number may be sent now, or nullopt if it may not.
     std::optional<std::uint64_t> fenceFor(std::uint64_t number, Base::TimePoint now) const;
-    /// Whether the table says that the order with this number has been carried out.
+    /// Whether the table says that the order \a number, or a later one, has been carried out.
     bool isDone(std::uint64_t number) const;
-    /// The order was carried out: says so in the table and lets the lease go.
+    /// Records in the table that the order was carried out and releases the lease. Does nothing if
+    /// the lease is not held or is being written.
     void finish(Base::TimePoint now);
-    /// A server has seen a larger fence: somebody else holds the lease.
-    void lose();
+    /// Gives the lease up because a server has seen a larger fence, so that another router holds
+    /// it. The row is then read again.
+    void invalidate();
 
 private:
     enum class Stage { Idle, Read, Write };
 
     void read(Base::TimePoint now);
     void write(const OrderLeaseRow &row, Base::TimePoint now);
-    void tookRead(const Storage::TableOutcome &outcome, Base::TimePoint now);
-    void tookWrite(const Storage::TableOutcome &outcome, Base::TimePoint now);
-    void hold(Base::TimePoint writtenAt);
+    void handleRead(const Storage::TableOutcome &outcome, Base::TimePoint now);
+    void handleWrite(const Storage::TableOutcome &outcome, Base::TimePoint now);
+    /// Starts the lease at \a writtenAt, unless the row says that the order is done.
+    void updateHeld(Base::TimePoint writtenAt);
+    /// Whether this router may acquire the lease now.
     bool isFree(Base::TimePoint now) const;
 
     OrderPolicy m_policy;
@@ -77,13 +87,14 @@
     Storage::OperationId m_operation = 0;
     Base::TimePoint m_calledAt{};
     Base::TimePoint m_nextTry{};
-    bool m_isKnown = false;
+    /// Whether m_row is the newest row as far as this router knows.
+    bool m_isRowKnown = false;
     OrderLeaseRow m_row;
     Storage::RowVersion m_rowVersion = Storage::absentRow;
     Base::TimePoint m_seenAt{};
-    /// Written, and not known whether it took effect.
-    std::optional<OrderLeaseRow> m_pending;
-    Base::TimePoint m_pendingAt{};
+    /// Row that was sent in a write whose effect is not known yet.
+    std::optional<OrderLeaseRow> m_pendingRow;
+    Base::TimePoint m_pendingSentAt{};
     std::optional<Base::TimePoint> m_heldUntil;
 };
 
--- a/src/libs/coordination/orderrows.cpp
+++ b/src/libs/coordination/orderrows.cpp
@@ -8,26 +8,26 @@
 
 using Json = nlohmann::json;
 
-std::string textOf(const Json &json, const char *key)
+std::string stringValue(const Json &json, const char *key)
 {
     const auto it = json.find(key);
     return it != json.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-std::uint64_t numberOf(const Json &json, const char *key)
+std::uint64_t unsignedValue(const Json &json, const char *key)
 {
     const auto it = json.find(key);
     return it != json.end() && it->is_number_unsigned() ? it->get<std::uint64_t>() : 0;
 }
 
-constexpr const char *loadModel = "load_model";
-constexpr const char *changeRole = "change_role";
+constexpr const char *loadModelKind = "load_model";
+constexpr const char *changeRoleKind = "change_role";
 
 } // namespace
 
 std::string encodeDesired(const DesiredRow &row)
 {
-    const char *kind = row.order.kind == OrderKind::LoadModel ? loadModel : changeRole;
+    const char *kind = row.order.kind == OrderKind::LoadModel ? loadModelKind : changeRoleKind;
     return Json{{"number", row.number},
                 {"order", kind},
                 {"model", row.order.model},
@@ -40,14 +40,14 @@
     const Json json = Json::parse(text, nullptr, false);
     if (!json.is_object())
         return std::nullopt;
-    const std::string kind = textOf(json, "order");
+    const std::string kind = stringValue(json, "order");
     DesiredRow row;
-    row.number = numberOf(json, "number");
-    if (row.number == 0 || (kind != loadModel && kind != changeRole))
+    row.number = unsignedValue(json, "number");
+    if (row.number == 0 || (kind != loadModelKind && kind != changeRoleKind))
         return std::nullopt;
-    row.order.kind = kind == loadModel ? OrderKind::LoadModel : OrderKind::ChangeRole;
-    row.order.model = textOf(json, "model");
-    row.order.role = textOf(json, "role");
+    row.order.kind = kind == loadModelKind ? OrderKind::LoadModel : OrderKind::ChangeRole;
+    row.order.model = stringValue(json, "model");
+    row.order.role = stringValue(json, "role");
     return row;
 }
 
@@ -67,10 +67,10 @@
     if (!json.is_object())
         return std::nullopt;
     OrderLeaseRow row;
-    row.holder = textOf(json, "holder");
-    row.fence = numberOf(json, "fence");
-    row.number = numberOf(json, "number");
-    row.renewal = numberOf(json, "renewal");
+    row.holder = stringValue(json, "holder");
+    row.fence = unsignedValue(json, "fence");
+    row.number = unsignedValue(json, "number");
+    row.renewal = unsignedValue(json, "renewal");
     const auto done = json.find("done");
     row.isDone = done != json.end() && done->is_boolean() && done->get<bool>();
     if (row.holder.empty() || row.fence == 0)
--- a/src/libs/coordination/orderrows.h
+++ b/src/libs/coordination/orderrows.h
@@ -12,38 +12,43 @@
 inline const std::string desiredPrefix = "orders/desired/";
 inline const std::string orderLeasePrefix = "orders/lease/";
 
-/// Row "orders/desired/SERVER": what an operator or the placement wants.
+/// Content of the row "orders/desired/SERVER": the state that an operator or the placement wants.
 struct DesiredRow
 {
-    /// Grows with each change.
+    /// Number of the order, which grows with each change.
     std::uint64_t number = 0;
     ModelOrder order;
 
     bool operator==(const DesiredRow &) const = default;
 };
 
-/// Row "orders/lease/SERVER": which router may order, and under which fence.
+/// Content of the row "orders/lease/SERVER": the router that may send orders to the server, and
+/// the fence that it must use.
 struct OrderLeaseRow
 {
-    /// A start of a router.
+    /// Name of the router's start that holds the lease.
     std::string holder;
-    /// Grows with each holder and with each number: an order is never sent under a fence that
-    /// another order was sent under.
+    /// Fencing number. It grows with each holder and with each order number, so that no two orders
+    /// are sent with the same fence.
     std::uint64_t fence = 0;
-    /// Number of the desired row that the fence is for.
+    /// Number of the order (DesiredRow::number) that the fence belongs to.
     std::uint64_t number = 0;
-    /// Makes each renewal another text, so that a lost one can be told from the one before.
+    /// Counts the renewals, so that the row of a renewal whose answer was lost differs from the
+    /// row before it.
     std::uint64_t renewal = 0;
-    /// The server has carried the order out; nobody needs the lease.
+    /// Whether the server has carried the order out. The lease is then free.
     bool isDone = false;
 
     bool operator==(const OrderLeaseRow &) const = default;
 };
 
+/// Returns the row as JSON.
 std::string encodeDesired(const DesiredRow &row);
-/// Empty if the text is none of ours; any bytes are safe.
+/// Returns the decoded row, or nullopt if \a text is not a valid one. Any input is safe.
 std::optional<DesiredRow> decodeDesired(const std::string &text);
+/// Returns the row as JSON.
 std::string encodeOrderLease(const OrderLeaseRow &row);
+/// Returns the decoded row, or nullopt if \a text is not a valid one. Any input is safe.
 std::optional<OrderLeaseRow> decodeOrderLease(const std::string &text);
 
 } // namespace Coordination
--- a/tests/auto/coordination/tst_orderbook.cpp
+++ b/tests/auto/coordination/tst_orderbook.cpp
@@ -20,7 +20,7 @@
     std::uint64_t fence = 0;
 };
 
-class Orders final : public ModelServerOrders
+class RecordingSender final : public OrderSender
 {
 public:
     void send(const Base::ServerId &, const ModelOrder &order, std::uint64_t fence) override
@@ -32,19 +32,19 @@
 
 struct Router
 {
-    Router(Fakes::Table &truth, const std::string &name, Base::Duration clockOffset)
-        : table(truth)
+    Router(Fakes::Table &sharedTable, const std::string &name, Base::Duration clockOffset)
+        : table(sharedTable)
         , offset(clockOffset)
-        , book(*OrderBook::create({}, table, orders, operations, name))
+        , reconciler(*OrderReconciler::create({}, table, sender, operations, name))
     {
-        book.setDuties({server}, 1);
+        reconciler.setServers({server}, 1);
     }
     Storage::OperationIds operations;
     Fakes::ManualTable table;
-    Orders orders;
+    RecordingSender sender;
     Base::Duration offset;
     Base::TimePoint pausedUntil{};
-    OrderBook book;
+    OrderReconciler reconciler;
 };
 
 ModelOrder modelOrder(std::uint64_t number)
@@ -52,7 +52,7 @@
     return {OrderKind::LoadModel, "m" + std::to_string(number), ""};
 }
 
-/// Some routers that all believe to be on duty, one model server, one table.
+/// Three routers that all manage the same model server, with one shared table.
 class Placement
 {
 public:
@@ -60,19 +60,20 @@
         : random(seed)
     {
         for (int i = 0; i < 3; ++i)
-            routers.push_back(std::make_unique<Router>(truth, "r" + std::to_string(i), i * 7777s));
+            routers.push_back(
+                std::make_unique<Router>(sharedTable, "r" + std::to_string(i), i * 7777s));
     }
 
-    void want(std::uint64_t number)
+    void setDesired(std::uint64_t number)
     {
-        truth.transact(0, {{desiredPrefix + server.value(),
-                            encodeDesired({number, modelOrder(number)}), std::nullopt}});
+        sharedTable.transact(0, {{desiredPrefix + server.value(),
+                                  encodeDesired({number, modelOrder(number)}), std::nullopt}});
     }
 
     std::uint64_t fenceInTable() const
     {
-        const auto it = truth.rows.find(orderLeasePrefix + server.value());
-        return it == truth.rows.end() ? 0 : decodeOrderLease(it->second.value)->fence;
+        const auto it = sharedTable.rows.find(orderLeasePrefix + server.value());
+        return it == sharedTable.rows.end() ? 0 : decodeOrderLease(it->second.value)->fence;
     }
 
     bool chance(std::uint64_t percent) { return random.next() % 100 < percent; }
@@ -90,57 +91,58 @@
             while (router->table.waiting() > 0 && (!isFaulty || chance(60))) {
                 const Fakes::Fate fate =
                     isFaulty ? Fakes::Fate(random.next() % 6) : Fakes::Fate::Answered;
-                router->book.handle(router->table.end(0, fate), now + router->offset);
+                router->reconciler.handle(router->table.end(0, fate), now + router->offset);
             }
-            router->book.advance(now + router->offset);
-            serve(*router, isFaulty);
+            router->reconciler.advance(now + router->offset);
+            executeOrders(*router, isFaulty);
             if (isFaulty && chance(5))
                 router->table.flushLate();
         }
     }
 
-    /// The server carries orders out at once; some answers are lost.
-    void serve(Router &router, bool isFaulty)
+    /// Lets the server carry out the router's orders at once. If \a isFaulty, some answers are
+    /// lost.
+    void executeOrders(Router &router, bool isFaulty)
     {
-        for (const SentOrder &sent : std::exchange(router.orders.sent, {})) {
-            isOverlapped = isOverlapped || sent.fence != fenceInTable();
-            const auto [it, isNew] = byFence.emplace(sent.fence, sent.order);
-            isFenceShared = isFenceShared || it->second != sent.order;
-            ++served;
+        for (const SentOrder &sent : std::exchange(router.sender.sent, {})) {
+            isOutdatedFenceSent = isOutdatedFenceSent || sent.fence != fenceInTable();
+            const auto [it, isNew] = ordersByFence.emplace(sent.fence, sent.order);
+            isFenceReused = isFenceReused || it->second != sent.order;
+            ++executedCount;
             loaded = sent.order;
             if (!isFaulty || chance(50))
-                router.book.handle(OrderOutcome{server, sent.fence, OrderStatus::Done, 0ms},
-                                   now + router.offset);
+                router.reconciler.handle(OrderOutcome{server, sent.fence, OrderStatus::Done, 0ms},
+                                         now + router.offset);
         }
     }
 
-    Fakes::Table truth;
+    Fakes::Table sharedTable;
     std::vector<std::unique_ptr<Router>> routers;
     Base::SeededRandom random;
     Base::TimePoint now{1000s};
-    std::map<std::uint64_t, ModelOrder> byFence;
+    std::map<std::uint64_t, ModelOrder> ordersByFence;
     ModelOrder loaded;
-    int served = 0;
-    bool isOverlapped = false;
-    bool isFenceShared = false;
+    int executedCount = 0;
+    bool isOutdatedFenceSent = false;
+    bool isFenceReused = false;
 };
 
 } // namespace
 
-// A router is paused with the lease in its hand, another takes over and loads a newer model;
-// the first wakes and goes on where it was. The server would end with the old model, and an
-// operator would see it loaded though nobody wants it.
+// Guards against an outdated order: a router is paused while it holds the lease, another router
+// takes over and loads a newer model, and the first one resumes and sends its old order. The
+// server would end up with a model that is no longer wanted.
 TEST_CASE("no order is sent after another router has taken the lease", "[orders]")
 {
-    rc::prop("whatever is paused, lost or late, and whatever the clocks show", [] {
+    rc::prop("with pauses, lost or late answers and any clock offsets", [] {
         Placement placement(*rc::gen::arbitrary<std::uint64_t>());
         std::uint64_t number = 0;
         for (int i = 0; i < 600; ++i) {
             if (i % 150 == 0)
-                placement.want(++number);
+                placement.setDesired(++number);
             placement.step(true);
-            RC_ASSERT(!placement.isOverlapped);
-            RC_ASSERT(!placement.isFenceShared);
+            RC_ASSERT(!placement.isOutdatedFenceSent);
+            RC_ASSERT(!placement.isFenceReused);
         }
         for (auto &router : placement.routers)
             router->pausedUntil = {};
@@ -148,68 +150,68 @@
             placement.step(false);
         RC_ASSERT(placement.loaded == modelOrder(number));
         for (auto &router : placement.routers)
-            RC_ASSERT(router->book.openOrders() == 0);
+            RC_ASSERT(router->reconciler.pendingOrders() == 0);
     });
 }
 
-// The lease was written, and its holder paused before it read the answer: long enough for
-// another router to take over.
+// The holder is paused between the write of its lease and the answer, long enough for another
+// router to take over.
 TEST_CASE("a lease counts from before its write, not from the answer", "[orders]")
 {
     Placement placement(1);
-    placement.want(1);
+    placement.setDesired(1);
     Router &router = *placement.routers[0];
     Base::TimePoint now{1s};
     for (int i = 0; i < 2; ++i) {
-        router.book.advance(now += 1s);
-        router.book.handle(router.table.end(0, Fakes::Fate::Answered), now);
+        router.reconciler.advance(now += 1s);
+        router.reconciler.handle(router.table.end(0, Fakes::Fate::Answered), now);
     }
-    router.book.advance(now += 1s);
+    router.reconciler.advance(now += 1s);
     REQUIRE(router.table.waiting() == 1);
     router.table.land(0);
     REQUIRE(placement.fenceInTable() == 1);
     now += 20s;
-    router.book.handle(router.table.end(0, Fakes::Fate::Answered), now);
-    router.book.advance(now);
-    CHECK(router.orders.sent.empty());
+    router.reconciler.handle(router.table.end(0, Fakes::Fate::Answered), now);
+    router.reconciler.advance(now);
+    CHECK(router.sender.sent.empty());
 }
 
 TEST_CASE("an order that was carried out is not sent again by the next holder", "[orders]")
 {
     Placement placement(1);
-    placement.want(1);
+    placement.setDesired(1);
     for (int i = 0; i < 1000; ++i)
         placement.step(false);
-    CHECK(placement.served == 1);
+    CHECK(placement.executedCount == 1);
 }
 
-// A model is wanted on many servers at once; the weight store turns away what is too much.
-TEST_CASE("loads are paced for the whole fleet, and stop while the store says so", "[orders]")
+// A model is wanted on many servers at once, and the weight store refuses loads above its limit.
+TEST_CASE("loads are paced for the whole fleet and pause while the store is limited", "[orders]")
 {
-    Fakes::Table truth;
-    Router router(truth, "r", 0s);
+    Fakes::Table sharedTable;
+    Router router(sharedTable, "r", 0s);
     std::vector<Base::ServerId> servers;
     for (int i = 0; i < 20; ++i) {
         servers.emplace_back("s" + std::to_string(i));
-        truth.transact(0, {{desiredPrefix + servers.back().value(),
-                            encodeDesired({1, modelOrder(1)}), std::nullopt}});
+        sharedTable.transact(0, {{desiredPrefix + servers.back().value(),
+                                  encodeDesired({1, modelOrder(1)}), std::nullopt}});
     }
-    router.book.setDuties(servers, 3);
+    router.reconciler.setServers(servers, 3);
     Base::TimePoint now{1s};
     const auto run = [&](Base::Duration length) {
         for (const Base::TimePoint end = now + length; now < end; now += 100ms) {
-            router.book.advance(now);
+            router.reconciler.advance(now);
             while (router.table.waiting() > 0)
-                router.book.handle(router.table.end(0, Fakes::Fate::Answered), now);
+                router.reconciler.handle(router.table.end(0, Fakes::Fate::Answered), now);
         }
     };
     run(60s);
-    CHECK(router.orders.sent.size() >= 9);
-    CHECK(router.orders.sent.size() <= 11);
-    const SentOrder last = router.orders.sent.back();
+    CHECK(router.sender.sent.size() >= 9);
+    CHECK(router.sender.sent.size() <= 11);
+    const SentOrder last = router.sender.sent.back();
     for (const Base::ServerId &each : servers)
-        router.book.handle(OrderOutcome{each, last.fence, OrderStatus::Limited, 30s}, now);
-    const std::size_t before = router.orders.sent.size();
+        router.reconciler.handle(OrderOutcome{each, last.fence, OrderStatus::Limited, 30s}, now);
+    const std::size_t before = router.sender.sent.size();
     run(29s);
-    CHECK(router.orders.sent.size() == before);
+    CHECK(router.sender.sent.size() == before);
 }
