--- a/src/libs/coordination/stretchedinterval.cpp
+++ b/src/libs/coordination/stretchedinterval.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// A stretched exchange is looked at this often.
-constexpr Base::Duration lookInterval = std::chrono::milliseconds(50);
+/// Interval at which a stretched exchange is checked again.
+constexpr Base::Duration recheckInterval = std::chrono::milliseconds(50);
 
 } // namespace
 
@@ -15,16 +15,16 @@
 
 bool StretchedInterval::take(Base::TimePoint now, double stretch)
 {
-    if (now < m_nextLook)
+    if (now < m_nextCheck)
         return false;
-    const std::chrono::duration<double> passed = now - m_takenAt;
-    if (m_isTaken && passed < m_interval * stretch) {
-        m_nextLook = now + lookInterval;
+    const std::chrono::duration<double> passed = now - m_lastSentAt;
+    if (m_hasSent && passed < m_interval * stretch) {
+        m_nextCheck = now + recheckInterval;
         return false;
     }
-    m_isTaken = true;
-    m_takenAt = now;
-    m_nextLook = now + m_interval;
+    m_hasSent = true;
+    m_lastSentAt = now;
+    m_nextCheck = now + m_interval;
     return true;
 }
 
--- a/src/libs/coordination/stretchedinterval.h
+++ b/src/libs/coordination/stretchedinterval.h
@@ -4,25 +4,25 @@
 
 namespace Coordination {
 
-/// When an exchange that can wait is sent, obeying TrafficMeter::stretch().
+/// Schedules a deferrable exchange whose interval is multiplied by TrafficMeter::stretch().
 ///
-/// The stretch is asked for at each look, not once at the last sending: a stretch of the moment
-/// (the stop at a full window is a thousandfold) then ends as soon as its cause does.
+/// The caller passes the current stretch at every check rather than once after each message. A
+/// short-lived stretch (a full window has a factor of 1000) then ends as soon as its cause does.
 class StretchedInterval
 {
 public:
     explicit StretchedInterval(Base::Duration interval);
 
-    /// Whether to send now; if so, the next interval begins.
+    /// Returns whether the exchange is due now, and begins the next interval if it is.
     bool take(Base::TimePoint now, double stretch);
-    /// When to look again.
-    Base::TimePoint nextDue() const { return m_nextLook; }
+    /// Time of the next check.
+    Base::TimePoint nextDue() const { return m_nextCheck; }
 
 private:
     Base::Duration m_interval;
-    Base::TimePoint m_takenAt{};
-    Base::TimePoint m_nextLook{};
-    bool m_isTaken = false;
+    Base::TimePoint m_lastSentAt{};
+    Base::TimePoint m_nextCheck{};
+    bool m_hasSent = false;
 };
 
 } // namespace Coordination
--- a/src/libs/coordination/trafficmeter.cpp
+++ b/src/libs/coordination/trafficmeter.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// While the window is full: no exchange is so frequent that it comes through.
-constexpr double stopStretch = 1000;
+/// Stretch while the window is full. It is so large that it blocks every exchange.
+constexpr double blockingStretch = 1000;
 
 } // namespace
 
@@ -28,9 +28,9 @@
 
 Base::Result<TrafficMeter> TrafficMeter::create(const TrafficBudget &budget)
 {
-    const bool isValid = budget.bytesPerSecond > 0 && budget.target > 0
-                         && budget.target <= budget.stop && budget.stop < 1 && budget.reserve > 0
-                         && budget.chargeShare > 0;
+    const bool isValid = budget.bytesPerSecond > 0 && budget.targetShare > 0
+                         && budget.targetShare <= budget.stopShare && budget.stopShare < 1
+                         && budget.reservedShare > 0 && budget.chargeCoarseningShare > 0;
     if (!isValid)
         return boost::leaf::new_error(InvalidTrafficBudget{});
     return TrafficMeter(budget);
@@ -40,7 +40,7 @@
     : m_budget(budget)
 {}
 
-std::int64_t TrafficMeter::numberOf(Base::TimePoint now)
+std::int64_t TrafficMeter::bucketNumber(Base::TimePoint now)
 {
     return now.time_since_epoch() / bucketLength;
 }
@@ -54,9 +54,9 @@
 {
     m_totals[static_cast<std::size_t>(kind)] += bytes;
     const auto size = static_cast<double>(bytes);
-    const double wanted = size * fittingStretch(sum(now));
-    const std::int64_t number = numberOf(now);
-    Bucket &bucket = m_buckets[static_cast<std::size_t>(number) % buckets];
+    const double unstretched = size * requiredStretch(windowSum(now));
+    const std::int64_t number = bucketNumber(now);
+    Bucket &bucket = m_buckets[static_cast<std::size_t>(number) % bucketCount];
     if (bucket.number != number)
         bucket = Bucket{number, 0, 0, 0};
     if (!isDeferrable(kind)) {
@@ -64,7 +64,7 @@
         return;
     }
     bucket.deferrable += size;
-    bucket.wanted += wanted;
+    bucket.unstretched += unstretched;
 }
 
 std::uint64_t TrafficMeter::total(TrafficKind kind) const
@@ -72,44 +72,44 @@
     return m_totals[static_cast<std::size_t>(kind)];
 }
 
-TrafficMeter::Bucket TrafficMeter::sum(Base::TimePoint now) const
+TrafficMeter::Bucket TrafficMeter::windowSum(Base::TimePoint now) const
 {
-    const std::int64_t oldest = numberOf(now) - static_cast<std::int64_t>(buckets) + 1;
+    const std::int64_t oldest = bucketNumber(now) - static_cast<std::int64_t>(bucketCount) + 1;
     Bucket sum;
     for (const Bucket &bucket : m_buckets) {
         if (bucket.number < oldest)
             continue;
         sum.fixed += bucket.fixed;
         sum.deferrable += bucket.deferrable;
-        sum.wanted += bucket.wanted;
+        sum.unstretched += bucket.unstretched;
     }
     return sum;
 }
 
-double TrafficMeter::fittingStretch(const Bucket &sum) const
+double TrafficMeter::requiredStretch(const Bucket &sum) const
 {
-    const double left =
-        std::max(m_budget.target * windowBytes() - sum.fixed, m_budget.reserve * windowBytes());
-    return std::clamp(sum.wanted / left, 1.0, stopStretch);
+    const double available = std::max(m_budget.targetShare * windowBytes() - sum.fixed,
+                                      m_budget.reservedShare * windowBytes());
+    return std::clamp(sum.unstretched / available, 1.0, blockingStretch);
 }
 
 double TrafficMeter::stretch(Base::TimePoint now) const
 {
-    const Bucket all = sum(now);
-    const double largest =
-        std::max(m_budget.stop * windowBytes() - all.fixed, m_budget.reserve * windowBytes());
-    return all.deferrable >= largest ? stopStretch : fittingStretch(all);
+    const Bucket all = windowSum(now);
+    const double limit = std::max(m_budget.stopShare * windowBytes() - all.fixed,
+                                  m_budget.reservedShare * windowBytes());
+    return all.deferrable >= limit ? blockingStretch : requiredStretch(all);
 }
 
 double TrafficMeter::chargeStretch(Base::TimePoint now) const
 {
-    const double share = sum(now).fixed / (m_budget.chargeShare * windowBytes());
-    return std::clamp(share, 1.0, m_budget.largestChargeStretch);
+    const double share = windowSum(now).fixed / (m_budget.chargeCoarseningShare * windowBytes());
+    return std::clamp(share, 1.0, m_budget.maxChargeStretch);
 }
 
 double TrafficMeter::rate(Base::TimePoint now) const
 {
-    const Bucket all = sum(now);
+    const Bucket all = windowSum(now);
     return (all.fixed + all.deferrable) / std::chrono::duration<double>(window).count();
 }
 
--- a/src/libs/coordination/trafficmeter.h
+++ b/src/libs/coordination/trafficmeter.h
@@ -9,84 +9,94 @@
 
 namespace Coordination {
 
-/// What the bytes between routers are for.
+/// Purpose of the bytes that a router sends to its peers.
 enum class TrafficKind { Permits, Charges, Heartbeats, Ledger, Configuration, Claims };
 inline constexpr std::size_t trafficKinds = 6;
 
-/// Whether messages of this kind may come later without anybody waiting for them.
+/// Whether messages of this kind can be delayed without a request waiting for them.
 bool isDeferrable(TrafficKind kind);
 
-/// A TrafficBudget that cannot work.
+/// Error of TrafficMeter::create(): a value of the TrafficBudget is out of range.
 struct InvalidTrafficBudget
 {};
 
+/// Budget for the traffic between routers. Shares are fractions of bytesPerSecond.
 struct TrafficBudget
 {
-    /// Bytes a second that one daemon may send to its peers.
+    /// Bytes per second that one daemon may send to its peers.
     double bytesPerSecond = 15000;
-    /// Share of the budget that the stretched exchanges aim at together with all else.
-    double target = 0.7;
-    /// Share at which deferrable messages stop for the moment. What is left takes one large
-    /// message more, and permits that come in a burst.
-    double stop = 0.8;
-    /// Share that the deferrable ones keep when permits alone fill the budget: a router
-    /// without heartbeats would be taken for dead, which costs more than the bytes.
-    double reserve = 0.1;
-    /// Share from which permits and charges together make charges coarser.
-    double chargeShare = 0.5;
-    double largestChargeStretch = 8;
+    /// Utilization that the stretch of deferrable exchanges aims at, all traffic included.
+    double targetShare = 0.7;
+    /// Utilization at which deferrable messages are blocked for the moment. The rest of the budget
+    /// has room for one more large message and for a burst of permits.
+    double stopShare = 0.8;
+    /// Share that deferrable messages keep even if permits alone fill the budget. A router without
+    /// heartbeats would be regarded as dead, which costs more than the bytes.
+    double reservedShare = 0.1;
+    /// Utilization by traffic that is not deferrable from which on charges become coarser.
+    double chargeCoarseningShare = 0.5;
+    /// Largest result of TrafficMeter::chargeStretch().
+    double maxChargeStretch = 8;
 };
 
-/// Counts every byte sent between routers by kind, and says how far the exchanges that can
-/// wait must stretch their interval to stay inside the budget.
+/// Counts the bytes sent between routers by kind, and computes by which factor (stretch) the
+/// deferrable exchanges must lengthen their intervals to stay within the budget.
 ///
-/// Load it answers: many customers served at once (large ledger deltas), many changes of
-/// configuration, many permits. Without it the exchanges would pass the budget just when the
-/// fleet is busiest, and take processor time from requests. The window is two seconds: long
-/// enough to hold four heartbeats, short enough that a stretch ends soon after its cause. A
-/// sender obeys if it sends when lastSent + interval x stretch(now) has passed, and records at
-/// once what it sent.
+/// Traffic grows with the number of customers served at once (large ledger deltas), of
+/// configuration changes and of permits. Without the stretch it would exceed the budget when the
+/// fleet is busiest and take processor time from requests. The window of two seconds contains four
+/// heartbeats, and is short enough for a stretch to end soon after its cause.
+///
+/// A sender must send only when interval times stretch(now) has passed since its last message, and
+/// must record the message at once.
 class TrafficMeter
 {
 public:
     /// Fails with InvalidTrafficBudget.
     static Base::Result<TrafficMeter> create(const TrafficBudget &budget);
 
-    /// \a now must not go back.
+    /// Records \a bytes sent at \a now, which must not decrease between calls.
     void record(TrafficKind kind, std::size_t bytes, Base::TimePoint now);
+    /// Bytes of this kind recorded so far.
     std::uint64_t total(TrafficKind kind) const;
-    /// At least 1; the factor by which deferrable intervals are multiplied.
+    /// Factor, at least 1, by which intervals of deferrable exchanges must be multiplied.
     double stretch(Base::TimePoint now) const;
-    /// At least 1; the factor by which the service charged in one message is multiplied.
+    /// Factor, at least 1, by which the amount of service charged in one message must be
+    /// multiplied.
     double chargeStretch(Base::TimePoint now) const;
-    /// Bytes a second over the window.
+    /// Bytes per second over the window.
     double rate(Base::TimePoint now) const;
 
+    /// Period over which the traffic is measured.
     static constexpr Base::Duration window = std::chrono::seconds(2);
 
 private:
     static constexpr Base::Duration bucketLength = std::chrono::milliseconds(100);
-    /// One more than the window holds, so that no exact window has more bytes than are counted.
-    static constexpr std::size_t buckets = window / bucketLength + 1;
+    /// One bucket more than the window contains, so that the buckets cover the bytes of any
+    /// window, even one that begins within a bucket.
+    static constexpr std::size_t bucketCount = window / bucketLength + 1;
 
+    /// Bytes sent within one bucketLength.
     struct Bucket
     {
         std::int64_t number = -1;
+        /// Bytes that are not deferrable.
         double fixed = 0;
         double deferrable = 0;
-        /// The deferrable bytes that would have been sent without a stretch.
-        double wanted = 0;
+        /// Estimate of the deferrable bytes that would have been sent without a stretch.
+        double unstretched = 0;
     };
 
     explicit TrafficMeter(const TrafficBudget &budget);
-    static std::int64_t numberOf(Base::TimePoint now);
-    Bucket sum(Base::TimePoint now) const;
-    double fittingStretch(const Bucket &sum) const;
+    static std::int64_t bucketNumber(Base::TimePoint now);
+    Bucket windowSum(Base::TimePoint now) const;
+    /// Stretch that brings the traffic in \a sum to the target utilization.
+    double requiredStretch(const Bucket &sum) const;
     double windowBytes() const;
 
     TrafficBudget m_budget;
     std::array<std::uint64_t, trafficKinds> m_totals{};
-    std::array<Bucket, buckets> m_buckets{};
+    std::array<Bucket, bucketCount> m_buckets{};
 };
 
 } // namespace Coordination
--- a/tests/auto/coordination/tst_trafficmeter.cpp
+++ b/tests/auto/coordination/tst_trafficmeter.cpp
@@ -15,13 +15,13 @@
 {
     TrafficKind kind = TrafficKind::Ledger;
     StretchedInterval interval;
-    std::size_t largest = 0;
+    std::size_t maxBytes = 0;
 };
 
 } // namespace
 
-// A busy hour: deltas grow from a few customers to hundreds at once, several exchanges run, and
-// permits take a part. The daemon would pass what its host allows for control.
+// Guards against control traffic above the budget of a daemon: deltas grow from a few customers to
+// hundreds at once, several exchanges run and permits take a part of the budget.
 TEST_CASE("deferrable exchanges that obey stretch stay under the budget", "[traffic]")
 {
     rc::prop("no window of two seconds has more than the budget", [] {
@@ -34,7 +34,7 @@
                                    TrafficKind::Configuration),
                  StretchedInterval(std::chrono::milliseconds(*rc::gen::inRange(20, 1000))),
                  *rc::gen::inRange<std::size_t>(10, 5500)});
-        const auto permits = *rc::gen::inRange<std::size_t>(0, 60);
+        const auto permitBytes = *rc::gen::inRange<std::size_t>(0, 60);
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
         std::deque<std::pair<Base::TimePoint, std::size_t>> sent;
         std::size_t inWindow = 0;
@@ -45,14 +45,14 @@
                 sent.emplace_back(now, bytes);
                 inWindow += bytes;
             };
-            record(TrafficKind::Permits, permits);
+            record(TrafficKind::Permits, permitBytes);
             for (Sender &sender : senders) {
-                // The budget holds after the first window, when the meter knows the permits.
+                // The budget is kept after the first window, when the meter has counted permits.
                 if (tick < 200 || !sender.interval.take(now, meter.stretch(now)))
                     continue;
-                // Quiet spells and sudden bursts.
+                // Quiet periods alternate with sudden bursts.
                 const bool isBurst = ((tick + seed) / 300) % 2 == 0;
-                record(sender.kind, isBurst ? sender.largest : sender.largest / 50 + 1);
+                record(sender.kind, isBurst ? sender.maxBytes : sender.maxBytes / 50 + 1);
             }
             while (sent.front().first <= now - TrafficMeter::window) {
                 inWindow -= sent.front().second;
@@ -78,7 +78,7 @@
     CHECK(meter.total(TrafficKind::Ledger) == 40000);
 }
 
-TEST_CASE("when permits alone fill the budget, exchanges keep a little and charges coarsen",
+TEST_CASE("when permits alone fill the budget, exchanges keep their reserve and charges coarsen",
           "[traffic]")
 {
     TrafficMeter meter = *TrafficMeter::create({});
@@ -98,7 +98,7 @@
     CHECK(meter.chargeStretch(now + 5s) == 1);
 }
 
-TEST_CASE("an interval is kept when nothing stretches it, and a stop ends with its cause",
+TEST_CASE("an interval is kept if nothing stretches it, and a block ends with its cause",
           "[traffic]")
 {
     StretchedInterval interval(500ms);
