--- a/src/libs/coordination/heartbeat.h
+++ b/src/libs/coordination/heartbeat.h
@@ -45,7 +45,8 @@
     std::uint64_t sequence = 0;
     MemberState state = MemberState::Live;
     Settings::ConfigurationVersion configurationVersion = 0;
-    /// All marks in force if isFull, otherwise only a few recent ones.
+    /// All marks that are in force or fresh if isFull, otherwise a few fresh ones; see
+    /// LeavingMarks.
     std::vector<LeavingMark> leaving;
     /// All pool shards of the sender if isFull, otherwise only those with changed numbers.
     std::vector<PoolSummary> pools;
--- a/src/libs/coordination/membership.cpp
+++ b/src/libs/coordination/membership.cpp
@@ -275,7 +275,7 @@
         return true;
     if (hasSparePermits(summary) && !hasSparePermits(lastSent->second.summary))
         return true;
-    return m_sentAt - lastSent->second.at >= m_policy.poolUpdateInterval
+    return m_sentAt - lastSent->second.sentAt >= m_policy.poolUpdateInterval
            && !isWithinFactorTwo(lastSent->second.summary, summary);
 }
 
--- a/src/libs/coordination/membership.h
+++ b/src/libs/coordination/membership.h
@@ -32,7 +32,7 @@
     /// loss of a router would be detected only after four seconds.
     double maxStretch = 2;
     /// One of this many heartbeats is full, so that what lost ones have left out is repaired
-    /// within 15 s. With one in eight, thirty leaving marks took 8 KB/s.
+    /// within 15 s. With one in eight, thirty leaving marks would take 8 KB/s.
     std::uint64_t fullEvery = 30;
     /// Shortest time between two updates of a changing pool. Newly spare permits are sent
     /// without this delay.
@@ -144,7 +144,7 @@
     struct SentPool
     {
         PoolSummary summary;
-        Base::TimePoint at;
+        Base::TimePoint sentAt;
     };
 
     Membership(const MembershipPolicy &policy, const MembershipSelf &self);
--- a/src/libs/coordination/serviceledger.h
+++ b/src/libs/coordination/serviceledger.h
@@ -158,7 +158,7 @@
     struct FoldRecord
     {
         LedgerStart start;
-        Base::TimePoint at;
+        Base::TimePoint foldedAt;
     };
 
     ServiceLedger(const LedgerPolicy &policy, const LedgerStart &self, const Base::PoolId &pool);
--- a/src/libs/coordination/serviceledgermerge.cpp
+++ b/src/libs/coordination/serviceledgermerge.cpp
@@ -165,7 +165,7 @@
     for (const LedgerStart &start : silent)
         fold(start, m_now);
     std::erase_if(m_folded, [this](const auto &known) {
-        return m_now - known.second.at >= m_policy.foldedRetention;
+        return m_now - known.second.foldedAt >= m_policy.foldedRetention;
     });
 }
 
@@ -196,7 +196,7 @@
 {
     std::vector<FoldedStart> list;
     for (const auto &[host, known] : m_folded) {
-        const auto age = std::chrono::duration_cast<std::chrono::seconds>(m_now - known.at);
+        const auto age = std::chrono::duration_cast<std::chrono::seconds>(m_now - known.foldedAt);
         list.push_back({known.start, age});
     }
     return list;
--- a/tests/auto/coordination/tst_configurationreplica.cpp
+++ b/tests/auto/coordination/tst_configurationreplica.cpp
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The version at which a write took effect; 0 if it did not.
+    /// Returns the version at which a write took effect, or 0 if it did not.
     ConfigurationVersion effectOf(std::uint64_t handle) const
     {
         ConfigurationVersion effect = 0;
