--- a/src/libs/coordination/configurationreplica.h
+++ b/src/libs/coordination/configurationreplica.h
@@ -3,8 +3,8 @@
 #include "base/result.h"
 #include "base/time.h"
 #include "coordination/configurationcompactor.h"
+#include "coordination/configurationhistory.h"
 #include "coordination/configurationpolicy.h"
-#include "coordination/knownchanges.h"
 #include "coordination/targetwriter.h"
 #include "settings/configuration.h"
 #include "storage/objectstore.h"
@@ -65,8 +65,8 @@
     std::vector<TargetWriteResult> takeWriteResults() { return m_writer.takeResults(); }
 
     /// Records the version that a peer's heartbeat has announced.
-    void notePeer(const Base::HostId &peer, Settings::ConfigurationVersion version,
-                  Base::TimePoint now);
+    void recordPeerVersion(const Base::HostId &peer, Settings::ConfigurationVersion version,
+                           Base::TimePoint now);
     /// Returns the peer to pull missing changes from if a pull is due, and schedules the next one.
     std::optional<Base::HostId> duePull(Base::TimePoint now);
     /// Returns up to \a limit changes to push to a peer that is at \a version. A router pushes a
@@ -81,9 +81,9 @@
     std::vector<Settings::ConfigurationChange> changesAfter(Settings::ConfigurationVersion version,
                                                             std::size_t limit) const;
     /// Applies changes from a peer. A change whose version is not the next one is ignored.
-    void learn(const std::vector<Settings::ConfigurationChange> &changes);
+    void applyChanges(const std::vector<Settings::ConfigurationChange> &changes);
     /// Replaces the configuration by a peer's if that is newer.
-    void learnSnapshot(const Settings::Configuration &configuration);
+    void applySnapshot(const Settings::Configuration &configuration);
 
 private:
     struct Peer
--- a/src/libs/coordination/ledgerdelta.h
+++ b/src/libs/coordination/ledgerdelta.h
@@ -81,7 +81,7 @@
     /// Whether this is the complete state of a sender that is not cold.
     bool isSnapshot = false;
     /// Whether the sender has started cold and requests a snapshot.
-    bool isAsking = false;
+    bool isSnapshotRequest = false;
     std::vector<FoldedStart> folded;
     /// The starts that SeenCharge::start refers to by index.
     std::vector<LedgerStart> starts;
--- a/src/libs/coordination/membership.h
+++ b/src/libs/coordination/membership.h
@@ -33,7 +33,7 @@
     double maxStretch = 2;
     /// One of this many heartbeats is full, so that what lost ones have left out is repaired
     /// within 15 s. With one in eight, thirty leaving marks would take 8 KB/s.
-    std::uint64_t fullEvery = 30;
+    std::uint64_t heartbeatsPerFull = 30;
     /// Shortest time between two updates of a changing pool. Newly spare permits are sent
     /// without this delay.
     Base::Duration poolUpdateInterval = std::chrono::seconds(1);
@@ -48,7 +48,7 @@
 };
 
 /// Identity and addresses of this router, as it announces them in full heartbeats.
-struct MembershipSelf
+struct RouterIdentity
 {
     Base::HostId host;
     Base::Incarnation incarnation = 0;
@@ -95,7 +95,7 @@
 public:
     /// Fails with InvalidMembershipPolicy.
     static Base::Result<Membership> create(const MembershipPolicy &policy,
-                                           const MembershipSelf &self);
+                                           const RouterIdentity &self);
 
     /// Adds the routers and the leaving marks of the platform's list. Of a list older than the
     /// newest one seen only the leaving marks are used.
@@ -121,7 +121,7 @@
     void setStretch(double stretch);
     Base::TimePoint nextDue() const { return m_nextHeartbeat; }
 
-    const MembershipSelf &self() const { return m_self; }
+    const RouterIdentity &self() const { return m_self; }
     /// Whether this router was asked to leave or is marked as leaving by the platform or a peer.
     bool isSelfLeaving() const { return m_isSelfLeaving; }
     /// All known routers except this one, by host.
@@ -147,7 +147,7 @@
         Base::TimePoint sentAt;
     };
 
-    Membership(const MembershipPolicy &policy, const MembershipSelf &self);
+    Membership(const MembershipPolicy &policy, const RouterIdentity &self);
     void markLeaving(const std::string &name, Base::Incarnation incarnation);
     /// Returns the sender with its addresses updated; null if it is unknown and the heartbeat has
     /// no addresses.
@@ -165,7 +165,7 @@
     void seedRouter(const Storage::ListedHost &listed);
 
     MembershipPolicy m_policy;
-    MembershipSelf m_self;
+    RouterIdentity m_self;
     std::map<Base::HostId, Member> m_others;
     LeavingMarks m_marks;
     std::map<std::pair<Base::PoolId, std::uint32_t>, SentPool> m_sentPools;
--- a/src/libs/coordination/serviceledger.cpp
+++ b/src/libs/coordination/serviceledger.cpp
@@ -165,7 +165,7 @@
     LedgerDelta delta = makeHeader();
     if (m_isCold && m_now >= m_nextSnapshotRequest) {
         m_nextSnapshotRequest = m_now + m_policy.snapshotRequestInterval;
-        delta.isAsking = true;
+        delta.isSnapshotRequest = true;
     }
     std::vector<Base::CustomerId> customers = takeChanged(limit);
     if (m_now >= m_nextRefresh) {
@@ -179,7 +179,7 @@
         account.lastSent = account.chargedLocally;
         delta.entries.push_back(makeEntry(customer, account, delta.isFull));
     }
-    if (delta.entries.empty() && !delta.isAsking)
+    if (delta.entries.empty() && !delta.isSnapshotRequest)
         return std::nullopt;
     return delta;
 }
--- a/src/libs/coordination/trafficmeter.h
+++ b/src/libs/coordination/trafficmeter.h
@@ -11,7 +11,7 @@
 
 /// Purpose of the bytes that a router sends to its peers.
 enum class TrafficKind { Permits, Charges, Heartbeats, Ledger, Configuration, Claims };
-inline constexpr std::size_t trafficKinds = 6;
+inline constexpr std::size_t trafficKindCount = 6;
 
 /// Whether messages of this kind can be delayed without a request waiting for them.
 bool isDeferrable(TrafficKind kind);
@@ -95,7 +95,7 @@
     double windowBytes() const;
 
     TrafficBudget m_budget;
-    std::array<std::uint64_t, trafficKinds> m_totals{};
+    std::array<std::uint64_t, trafficKindCount> m_totals{};
     std::array<Bucket, bucketCount> m_buckets{};
 };
 
--- a/tests/auto/coordination/tst_serviceledger.cpp
+++ b/tests/auto/coordination/tst_serviceledger.cpp
@@ -296,7 +296,7 @@
     fleet.restart(2);
     const auto asked = fleet.ledgers[2]->takeDelta();
     REQUIRE(asked);
-    CHECK(asked->isAsking);
+    CHECK(asked->isSnapshotRequest);
     fleet.ledgers[2]->merge(fleet.ledgers[0]->snapshot());
     CHECK_FALSE(fleet.ledgers[2]->isCold());
     CHECK(fleet.ledgers[2]->position(customer(0)) == 700);
