--- a/src/libs/gateway/requestexaminer.cpp
+++ b/src/libs/gateway/requestexaminer.cpp
@@ -12,14 +12,15 @@
 
 using std::chrono::milliseconds;
 
-/// Callers may wait this long when they do not say.
+/// Deadline of requests whose caller sets none.
 constexpr milliseconds defaultDeadline{30000};
-/// Longer than this nobody waits; the bound keeps sums of times small.
-constexpr std::uint64_t longestDeadlineMs = 1U << 30;
+/// Upper bound for a caller's deadline, about 12 days. Nobody waits longer, and the bound keeps
+/// sums of times small.
+constexpr std::uint64_t maxDeadlineMs = 1U << 30;
 constexpr milliseconds notReadyRetryAfter{400};
 constexpr milliseconds leavingRetryAfter{50};
 
-std::string keyOf(const Request &message)
+std::string bearerToken(const Request &message)
 {
     constexpr std::string_view scheme = "Bearer ";
     const std::string_view value = field(message, "Authorization");
@@ -29,24 +30,24 @@
 } // namespace
 
 std::optional<Failure> RequestExaminer::examine(AcceptedRequest &accepted,
-                                                const ExaminedWith &known) const
+                                                const ExaminedWith &context) const
 {
-    // A process that has just started must not deny what it does not know of.
-    if (!known.table || !known.areServersKnown)
+    // A process that has just started knows no routes yet, and must not answer 404 or 401.
+    if (!context.table || !context.areServersKnown)
         return Failure{FailureType::NotReady, false, notReadyRetryAfter};
     const Request &message = accepted.request.message;
-    accepted.table = known.table;
-    accepted.route = known.table->find(field(message, "Host"),
-                                       {message.target().data(), message.target().size()});
+    accepted.table = context.table;
+    accepted.route = context.table->find(field(message, "Host"),
+                                         {message.target().data(), message.target().size()});
     if (!accepted.route) {
-        // Out of touch with the store, the route may have been added meanwhile.
-        if (!known.isLeaseHeld)
+        // Without a lease the configuration may be stale, and the route may exist in a newer one.
+        if (!context.isLeaseHeld)
             return Failure{FailureType::NotReady, false, notReadyRetryAfter};
         return Failure{FailureType::NoRoute, false, std::nullopt};
     }
-    if (std::optional<Failure> failure = identifyCustomer(accepted, known))
+    if (std::optional<Failure> failure = identifyCustomer(accepted, context))
         return failure;
-    if (known.isLeavingSoon && accepted.route->isStream())
+    if (context.isLeavingSoon && accepted.route->isStream())
         return Failure{FailureType::ShuttingDown, false, leavingRetryAfter};
     accepted.service =
         Routing::RouteTable::chooseService(*accepted.route, Base::stableHash(accepted.requestId));
@@ -55,15 +56,15 @@
 }
 
 std::optional<Failure> RequestExaminer::identifyCustomer(AcceptedRequest &accepted,
-                                                         const ExaminedWith &known) const
+                                                         const ExaminedWith &context) const
 {
-    if (!known.table->needsKey(*accepted.route))
+    if (!context.table->needsKey(*accepted.route))
         return std::nullopt;
-    // A key may have been taken away since the configuration was last known to be current.
-    if (!known.isLeaseHeld)
+    // The key may have been revoked since the configuration was last confirmed to be current.
+    if (!context.isLeaseHeld)
         return Failure{FailureType::NotReady, false, notReadyRetryAfter};
     const Routing::RoutedCustomer *customer =
-        known.table->customerByKey(keyOf(accepted.request.message));
+        context.table->customerByKey(bearerToken(accepted.request.message));
     if (!customer)
         return Failure{FailureType::UnknownKey, false, std::nullopt};
     accepted.customer = customer->id;
@@ -76,8 +77,7 @@
     const Base::TimePoint readAt = accepted.request.readAt;
     const auto deadline = parseNumber(field(message, m_names->timeLeft));
     accepted.deadline =
-        readAt
-        + (deadline ? milliseconds(std::min(*deadline, longestDeadlineMs)) : defaultDeadline);
+        readAt + (deadline ? milliseconds(std::min(*deadline, maxDeadlineMs)) : defaultDeadline);
     Routing::Work &work = accepted.work;
     work.id = accepted.id;
     work.customer = accepted.customer;
--- a/src/libs/gateway/requestexaminer.h
+++ b/src/libs/gateway/requestexaminer.h
@@ -10,34 +10,36 @@
 
 namespace Gateway {
 
-/// What a host knows at the moment at which a request is looked at.
+/// State of this host against which a request is validated.
 struct ExaminedWith
 {
     /// Null before the first configuration.
     std::shared_ptr<const Routing::RouteTable> table;
     bool areServersKnown = false;
-    /// The configuration is known to be current.
+    /// Whether the lease on the configuration is held, that is, whether the configuration was
+    /// confirmed to be current recently enough.
     bool isLeaseHeld = false;
-    /// This host's process ends before long work would: it should go elsewhere.
+    /// Whether this process exits before a stream would end; new streams are then refused.
     bool isLeavingSoon = false;
 };
 
-/// Decides whether a request is in order, and describes it for the decisions that follow.
+/// Validates a request against the configuration and fills in its route, customer, service and
+/// the description of its work that scheduling and placement need.
 class RequestExaminer
 {
 public:
-    /// \a names outlives the examiner.
+    /// \a names must outlive this object.
     explicit RequestExaminer(const HeaderNames &names)
         : m_names(&names)
     {}
 
-    /// Fills in \a accepted, of which the id and the message are given. Returns the failure that
-    /// the request is answered with at once; empty if it was accepted.
-    std::optional<Failure> examine(AcceptedRequest &accepted, const ExaminedWith &known) const;
+    /// Completes \a accepted, in which the caller has set the id and the request. Returns the
+    /// failure to answer at once; empty if the request was accepted.
+    std::optional<Failure> examine(AcceptedRequest &accepted, const ExaminedWith &context) const;
 
 private:
     std::optional<Failure> identifyCustomer(AcceptedRequest &accepted,
-                                            const ExaminedWith &known) const;
+                                            const ExaminedWith &context) const;
     void describeWork(AcceptedRequest &accepted) const;
 
     const HeaderNames *m_names;
