--- a/src/libs/gateway/backendpool.cpp
+++ b/src/libs/gateway/backendpool.cpp
@@ -14,31 +14,33 @@
     , m_readBuffer(&readBuffer)
 {}
 
-std::shared_ptr<BackendConnection> BackendPool::send(SendOrder order, BackendListener &listener,
-                                                     Base::TimePoint now)
+std::shared_ptr<BackendConnection> BackendPool::send(SendParameters parameters,
+                                                     BackendListener &listener, Base::TimePoint now)
 {
-    const std::string &key = order.server.id.value();
-    Peer &peer = m_peers[key];
-    std::shared_ptr<BackendConnection> connection = takeIdle(peer, order.isNotRepeatable, now);
+    const std::string &key = parameters.server.id.value();
+    ServerConnections &pooled = m_connections[key];
+    std::shared_ptr<BackendConnection> connection =
+        takeIdleConnection(pooled, parameters.isNotRepeatable, now);
     if (!connection) {
-        if (peer.all.size() >= m_limit)
+        if (pooled.all.size() >= m_limit)
             return nullptr;
         connection =
             std::make_shared<BackendConnection>(*m_io, key, *m_names, *m_readBuffer, *this);
-        peer.all.push_back(connection);
+        pooled.all.push_back(connection);
     }
-    const auto address = Settings::parseAddress(order.server.address);
-    connection->send(std::move(order.attempt), address ? address->ip : std::string(),
+    const auto address = Settings::parseAddress(parameters.server.address);
+    connection->send(std::move(parameters.attempt), address ? address->ip : std::string(),
                      address ? address->port : 0, listener, now);
     return connection;
 }
 
-std::shared_ptr<BackendConnection> BackendPool::takeIdle(Peer &peer, bool isNotRepeatable,
-                                                         Base::TimePoint now)
+std::shared_ptr<BackendConnection> BackendPool::takeIdleConnection(ServerConnections &pooled,
+                                                                   bool isNotRepeatable,
+                                                                   Base::TimePoint now)
 {
-    while (!peer.idle.empty()) {
-        BackendConnection *connection = peer.idle.back();
-        peer.idle.pop_back();
+    while (!pooled.idle.empty()) {
+        BackendConnection *connection = pooled.idle.back();
+        pooled.idle.pop_back();
         if (now < connection->idleUntil() && (!isNotRepeatable || !connection->isStale()))
             return connection->shared_from_this();
         connection->close();
@@ -48,16 +50,16 @@
 
 void BackendPool::checkTime(Base::TimePoint now)
 {
-    std::erase_if(m_peers, [](const auto &it) { return it.second.all.empty(); });
-    std::vector<std::shared_ptr<BackendConnection>> due;
-    for (const auto &[key, peer] : m_peers) {
-        for (const auto &connection : peer.all) {
-            const bool isOld = connection->isIdle() && now >= connection->idleUntil();
-            if (isOld || !connection->isConnected())
-                due.push_back(connection);
+    std::erase_if(m_connections, [](const auto &it) { return it.second.all.empty(); });
+    std::vector<std::shared_ptr<BackendConnection>> toCheck;
+    for (const auto &[key, pooled] : m_connections) {
+        for (const auto &connection : pooled.all) {
+            const bool isExpired = connection->isIdle() && now >= connection->idleUntil();
+            if (isExpired || !connection->isConnected())
+                toCheck.push_back(connection);
         }
     }
-    for (const auto &connection : due) {
+    for (const auto &connection : toCheck) {
         if (connection->isIdle())
             connection->close();
         else
@@ -67,27 +69,27 @@
 
 void BackendPool::forget(const Base::ServerId &server)
 {
-    const auto peer = m_peers.find(server.value());
-    if (peer == m_peers.end())
+    const auto pooled = m_connections.find(server.value());
+    if (pooled == m_connections.end())
         return;
-    const std::vector<BackendConnection *> idle = peer->second.idle;
+    const std::vector<BackendConnection *> idle = pooled->second.idle;
     for (BackendConnection *connection : idle)
         connection->close();
 }
 
 void BackendPool::connectionIdle(BackendConnection &connection)
 {
-    m_peers[connection.serverKey()].idle.push_back(&connection);
+    m_connections[connection.serverKey()].idle.push_back(&connection);
 }
 
 void BackendPool::connectionClosed(BackendConnection &connection)
 {
-    const auto it = m_peers.find(connection.serverKey());
-    if (it == m_peers.end())
+    const auto it = m_connections.find(connection.serverKey());
+    if (it == m_connections.end())
         return;
-    Peer &peer = it->second;
-    std::erase(peer.idle, &connection);
-    std::erase_if(peer.all, [&](const auto &held) { return held.get() == &connection; });
+    ServerConnections &pooled = it->second;
+    std::erase(pooled.idle, &connection);
+    std::erase_if(pooled.all, [&](const auto &held) { return held.get() == &connection; });
 }
 
 } // namespace Gateway
--- a/src/libs/gateway/backendpool.h
+++ b/src/libs/gateway/backendpool.h
@@ -12,54 +12,56 @@
 
 namespace Gateway {
 
-/// What is to be sent, and where.
-struct SendOrder
+/// Arguments of BackendPool::send(): the server and the attempt to send to it.
+struct SendParameters
 {
     const Routing::RegisteredServer &server;
     OutgoingAttempt attempt;
-    /// A request that must not run twice: an idle connection is looked at before it is used, since
-    /// a request on a connection that the server has just closed may or may not have run.
+    /// The request must not run twice. An idle connection is then checked before it is reused: it
+    /// is unknown whether a request ran that was sent on a connection which the server has just
+    /// closed.
     bool isNotRepeatable = false;
 };
 
-/// Connections to backend servers, kept open between requests: a new one costs the server time,
-/// and each server takes a bounded number from the whole fleet.
+/// Pools connections to backend servers and keeps them open between requests, since a new
+/// connection costs the server time and each server accepts a bounded number from the whole fleet.
 class BackendPool final : public ConnectionOwner
 {
 public:
-    /// The arguments outlive the pool.
+    /// The arguments must outlive the pool.
     BackendPool(boost::asio::io_context &io, const HeaderNames &names, std::string &readBuffer);
 
-    /// Sends on an idle connection or a new one. The connection returned is the attempt's until it
-    /// ends; null if the server has as many connections as this host may open, in which case
-    /// nothing was sent.
-    std::shared_ptr<BackendConnection> send(SendOrder order, BackendListener &listener,
+    /// Sends on an idle connection or a new one. Returns the connection, which belongs to the
+    /// attempt until that ends. Returns null, and sends nothing, if this host already has as many
+    /// connections to the server as its limit allows.
+    std::shared_ptr<BackendConnection> send(SendParameters parameters, BackendListener &listener,
                                             Base::TimePoint now);
-    /// Most connections to one server, from this host.
+    /// Sets how many connections this host may have to each server.
     void setLimit(std::size_t limit) { m_limit = limit; }
-    /// Closes what is idle for too long or connects for too long.
+    /// Closes idle connections whose keep-alive has expired and fails connection attempts that have
+    /// timed out.
     void checkTime(Base::TimePoint now);
-    /// The server is gone; idle connections to it are closed.
+    /// Closes the idle connections to \a server, which has gone.
     void forget(const Base::ServerId &server);
 
     void connectionIdle(BackendConnection &connection) override;
     void connectionClosed(BackendConnection &connection) override;
 
 private:
-    struct Peer
+    struct ServerConnections
     {
         std::vector<std::shared_ptr<BackendConnection>> all;
-        /// Most recently used last.
+        /// Ordered by last use; the most recently used connection is the last.
         std::vector<BackendConnection *> idle;
     };
 
-    std::shared_ptr<BackendConnection> takeIdle(Peer &peer, bool isNotRepeatable,
-                                                Base::TimePoint now);
+    std::shared_ptr<BackendConnection>
+    takeIdleConnection(ServerConnections &pooled, bool isNotRepeatable, Base::TimePoint now);
 
     boost::asio::io_context *m_io;
     const HeaderNames *m_names;
     std::string *m_readBuffer;
-    std::map<std::string, Peer> m_peers;
+    std::map<std::string, ServerConnections> m_connections;
     std::size_t m_limit = 64;
 };
 
