--- a/src/libs/gateway/backendconnection.cpp
+++ b/src/libs/gateway/backendconnection.cpp
@@ -14,19 +14,19 @@
 
 namespace {
 
-/// A host without power does not answer at all. Connections take about two milliseconds; a lost
-/// opening packet is sent again only after a second, when another server is long the better choice.
+/// A host that is powered off does not answer at all. Connecting takes about 2 ms; a lost SYN is
+/// retransmitted only after 1 s, by when another server is the better choice.
 constexpr Base::Duration connectTimeout = std::chrono::milliseconds(350);
-/// Unacknowledged bytes for this long mean that the server is cut off: the kernel ends the
-/// connection. Without it, a write into a partition hangs for minutes.
-constexpr int unacknowledgedLimitMs = 2500;
-/// A connection is given up this long before the server would close it, so that a request does
-/// not cross the close.
+/// The kernel closes the connection once sent bytes have been unacknowledged for this long, since
+/// the server is then unreachable. Without it, a write into a network partition hangs for minutes.
+constexpr int unacknowledgedTimeoutMs = 2500;
+/// A connection is no longer reused this long before the server would close it, so that no request
+/// is sent while the server closes it.
 constexpr Base::Duration keepAliveMargin = std::chrono::milliseconds(700);
-/// Answers to older requests that are skipped before the connection is given up.
-constexpr int mostStrays = 3;
+/// Number of late answers that are skipped before the connection is closed.
+constexpr int maxLateAnswers = 3;
 
-Base::Duration keepAliveOf(const ResponseHead &head)
+Base::Duration keepAliveTimeout(const ResponseHead &head)
 {
     const std::string_view text = field(head, "Keep-Alive");
     constexpr std::string_view key = "timeout=";
@@ -57,9 +57,9 @@
     m_attempt = std::move(attempt);
     m_maybeSent = false;
     m_isHeadSeen = false;
-    m_isStray = false;
+    m_isLateAnswer = false;
     m_isPaused = false;
-    m_strays = 0;
+    m_lateAnswers = 0;
     m_parser.reset();
     m_output.clear();
     m_output.append(m_attempt.text);
@@ -68,7 +68,7 @@
         write();
         return;
     }
-    m_connectBy = now + connectTimeout;
+    m_connectDeadline = now + connectTimeout;
     boost::system::error_code ec;
     const auto address = boost::asio::ip::make_address_v4(ip, ec);
     m_socket.async_connect({address, port},
@@ -88,7 +88,7 @@
     boost::system::error_code ignored;
     m_socket.non_blocking(true, ignored);
     m_socket.set_option(Tcp::no_delay(true), ignored);
-    const int limit = unacknowledgedLimitMs;
+    const int limit = unacknowledgedTimeoutMs;
     setsockopt(m_socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &limit, sizeof(limit));
     m_isConnected = true;
     write();
@@ -129,7 +129,7 @@
 
 void BackendConnection::checkTime(Base::TimePoint now)
 {
-    if (m_listener && !m_isConnected && now >= m_connectBy)
+    if (m_listener && !m_isConnected && now >= m_connectDeadline)
         fail(Routing::AttemptOutcome::Unreachable);
 }
 
@@ -164,11 +164,12 @@
         return;
     }
     if (ec) {
-        endOfInput(ec == boost::asio::error::eof);
+        inputEnded(ec == boost::asio::error::eof);
         return;
     }
     if (!m_listener) {
-        // Nobody asked for anything: a second answer to an older request, or no answer at all.
+        // No request is open: the data are a second answer to an older request, or no answer at
+        // all.
         close();
         return;
     }
@@ -203,7 +204,7 @@
         if (!m_listener)
             return;
         if (m_parser->is_done())
-            answerDone();
+            answerCompleted();
         else if (ec == Http::error::need_more)
             return;
     }
@@ -214,10 +215,10 @@
     m_isHeadSeen = true;
     const ResponseHead &head = m_parser->get().base();
     const std::string_view id = field(head, m_names->requestId);
-    m_isStray = id != m_attempt.requestId;
-    if (m_isStray)
+    m_isLateAnswer = id != m_attempt.requestId;
+    if (m_isLateAnswer)
         return;
-    m_keepAlive = keepAliveOf(head);
+    m_keepAliveTimeout = keepAliveTimeout(head);
     m_listener->answerStarted(head);
 }
 
@@ -227,28 +228,28 @@
     if (body.empty())
         return;
     const std::string data = std::exchange(body, {});
-    if (!m_isStray)
+    if (!m_isLateAnswer)
         m_listener->answerData(data);
 }
 
-void BackendConnection::answerDone()
+void BackendConnection::answerCompleted()
 {
-    const bool isKept = m_parser->keep_alive();
+    const bool isKeepAlive = m_parser->keep_alive();
     const bool isInformational = m_parser->get().result_int() < 200;
     m_parser.reset();
-    if (m_isStray) {
-        if (!isInformational && (!isKept || ++m_strays > mostStrays))
+    if (m_isLateAnswer) {
+        if (!isInformational && (!isKeepAlive || ++m_lateAnswers > maxLateAnswers))
             fail(Routing::AttemptOutcome::Broken);
         return;
     }
     BackendListener *listener = std::exchange(m_listener, nullptr);
-    // Unread bytes belong to no request; an unsent rest of the request would be taken for the
+    // Unread bytes belong to no request. The server would take unsent bytes of this request as the
     // beginning of the next one.
-    const bool isReusable = isKept && m_input.empty() && m_output.isEmpty();
+    const bool isReusable = isKeepAlive && m_input.empty() && m_output.isEmpty();
     const std::shared_ptr<BackendConnection> self = shared_from_this();
     if (isReusable) {
-        m_idleUntil = m_keepAlive > Base::Duration::zero()
-                          ? bootTimeNow() + m_keepAlive - keepAliveMargin
+        m_idleUntil = m_keepAliveTimeout > Base::Duration::zero()
+                          ? bootTimeNow() + m_keepAliveTimeout - keepAliveMargin
                           : Base::TimePoint::max();
         m_owner->connectionIdle(*this);
     } else {
@@ -257,18 +258,19 @@
     listener->answerEnded();
 }
 
-void BackendConnection::endOfInput(bool isClean)
+void BackendConnection::inputEnded(bool isClean)
 {
     if (!m_listener) {
         close();
         return;
     }
-    // An answer without a length ends with its connection; one that is reset is not complete.
-    if (isClean && m_parser && m_isHeadSeen && !m_isStray) {
+    // An answer without a length ends when the server closes the connection; after a reset it is
+    // incomplete.
+    if (isClean && m_parser && m_isHeadSeen && !m_isLateAnswer) {
         boost::system::error_code ec;
         m_parser->put_eof(ec);
         if (!ec && m_parser->is_done()) {
-            answerDone();
+            answerCompleted();
             return;
         }
     }
--- a/src/libs/gateway/backendconnection.h
+++ b/src/libs/gateway/backendconnection.h
@@ -16,17 +16,17 @@
 
 namespace Gateway {
 
-/// How an attempt failed, and whether the server may have run it.
+/// Describes how an attempt failed and whether the server may have run it.
 struct AttemptFailure
 {
     Routing::AttemptOutcome outcome = Routing::AttemptOutcome::Broken;
-    /// A byte of the request was written.
+    /// At least one byte of the request was written, so the server may have run it.
     bool maybeSent = false;
 };
 
-/// Takes the answer to one attempt: answerStarted(), any number of answerData(), answerEnded(); or
-/// attemptFailed() at any point. After the last two, and after BackendConnection::cancel(), nothing
-/// more comes.
+/// Receives the answer to one attempt: answerStarted(), any number of answerData() calls, then
+/// answerEnded(). attemptFailed() may be called instead at any point. No call follows
+/// answerEnded(), attemptFailed() or BackendConnection::cancel().
 class BackendListener
 {
 public:
@@ -37,7 +37,7 @@
     virtual void attemptFailed(const AttemptFailure &failure) = 0;
 };
 
-/// Told when a connection can take another request, or never will.
+/// Is notified when a connection becomes idle, and can take another request, or is closed.
 class ConnectionOwner
 {
 public:
@@ -46,45 +46,49 @@
     virtual void connectionClosed(class BackendConnection &connection) = 0;
 };
 
-/// One attempt, ready to be written.
+/// One attempt, serialized for sending.
 struct OutgoingAttempt
 {
     std::string text;
-    /// Its answer carries the same id; any other answer is not for this attempt.
+    /// Id that the answer must repeat; an answer with another id belongs to another attempt.
     std::string requestId;
     bool isHead = false;
 };
 
-/// One connection to a backend server; one request at a time.
+/// A connection to a backend server that carries one request at a time.
 ///
-/// Answers are matched by the request's id: a server may send a second answer to an older request,
-/// which comes where the next answer is expected. Such an answer is skipped. Whatever else comes
-/// that nobody asked for closes the connection.
+/// Answers are matched by the request's id, since a server may send a second answer to an older
+/// request, which arrives where the next answer is expected. Such a late answer is skipped. Any
+/// other unsolicited data closes the connection.
 class BackendConnection final : public std::enable_shared_from_this<BackendConnection>
 {
 public:
-    /// \a names, \a readBuffer and \a owner outlive the connection; \a serverKey is the owner's.
+    /// \a names, \a readBuffer and \a owner must outlive the connection. \a serverKey is the key
+    /// under which the owner keeps the connection.
     BackendConnection(boost::asio::io_context &io, std::string serverKey, const HeaderNames &names,
                       std::string &readBuffer, ConnectionOwner &owner);
 
-    /// Connects first, if that was not done yet. The listener outlives the attempt.
+    /// Sends \a attempt; connects to \a ip and \a port first if the connection is not open yet.
+    /// \a listener must outlive the attempt.
     void send(OutgoingAttempt attempt, const std::string &ip, std::uint16_t port,
               BackendListener &listener, Base::TimePoint now);
-    /// Ends the attempt: the connection is closed, so that the server stops working on it.
+    /// Cancels the attempt by closing the connection, which makes the server stop working on it.
     void cancel();
-    /// Stops and restarts reading: back pressure from a slow caller.
+    /// Stops reading, to apply backpressure to the server while its caller is slow.
     void pause() { m_isPaused = true; }
+    /// Reads on after pause().
     void resume();
-    /// Ends an attempt to connect that takes too long.
+    /// Fails the attempt if connecting has timed out.
     void checkTime(Base::TimePoint now);
-    /// Whether the server has closed it, or sent something that nobody asked for. Costs a system
-    /// call; asked before a request that must not be sent twice.
+    /// Whether the server has closed the idle connection or sent unsolicited data on it. Costs a
+    /// system call; called before a request is sent that must not run twice.
     bool isStale();
     void close();
 
     const std::string &serverKey() const { return m_serverKey; }
     bool isConnected() const { return m_isConnected; }
     bool isIdle() const { return m_isConnected && !m_listener && m_socket.is_open(); }
+    /// When the server may soon close the connection: it must not be reused from then on.
     Base::TimePoint idleUntil() const { return m_idleUntil; }
 
 private:
@@ -95,8 +99,8 @@
     void parse();
     void headParsed();
     void deliverBody();
-    void answerDone();
-    void endOfInput(bool isClean);
+    void answerCompleted();
+    void inputEnded(bool isClean);
     void fail(Routing::AttemptOutcome outcome);
 
     Tcp::socket m_socket;
@@ -109,16 +113,16 @@
     OutgoingAttempt m_attempt;
     OutputBuffer m_output;
     std::string m_input;
-    Base::TimePoint m_connectBy;
+    Base::TimePoint m_connectDeadline;
     Base::TimePoint m_idleUntil = Base::TimePoint::max();
-    Base::Duration m_keepAlive{};
-    int m_strays = 0;
+    Base::Duration m_keepAliveTimeout{};
+    int m_lateAnswers = 0;
     bool m_isConnected = false;
     bool m_isUsed = false;
     bool m_maybeSent = false;
     bool m_isHeadSeen = false;
-    /// The answer under way belongs to an older request.
-    bool m_isStray = false;
+    /// The answer being read belongs to an older request.
+    bool m_isLateAnswer = false;
     bool m_isPaused = false;
     bool m_isWaitingRead = false;
     bool m_isWaitingWrite = false;
