--- a/src/libs/gateway/callerconnection.cpp
+++ b/src/libs/gateway/callerconnection.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Bytes of further requests that are kept while one is open; beyond it reading stops.
-constexpr std::size_t mostInputAhead = 65536;
-/// Answer bytes that a slow caller may leave unread before its server is held back.
-constexpr std::size_t blockedBytes = 256U << 10;
+/// Bytes of pipelined requests that are buffered while a request is open; reading stops beyond it.
+constexpr std::size_t maxPipelinedBytes = 65536;
+/// Answer bytes that a slow caller may leave unread before backpressure is applied to its server.
+constexpr std::size_t blockedOutputBytes = 256U << 10;
 
 int statusFor(const boost::system::error_code &ec)
 {
@@ -34,8 +34,9 @@
 
 void CallerConnection::start(Base::TimePoint now)
 {
-    m_since = now;
-    // On a host that is behind the request is there already, and may be answered without the loop.
+    m_lastActivityAt = now;
+    // On an overloaded host the request has often arrived already; it can then be read and answered
+    // without a registration with the event loop.
     readable();
 }
 
@@ -46,7 +47,7 @@
     const bool isReadingHeader = m_parser && !m_parser->is_header_done();
     const Base::Duration limit =
         isReadingHeader ? m_context.limits.headerTimeout : m_context.limits.idleTimeout;
-    if (now - m_since >= limit)
+    if (now - m_lastActivityAt >= limit)
         close();
 }
 
@@ -80,12 +81,12 @@
         return;
     }
     if (ec) {
-        lose();
+        connectionLost();
         return;
     }
     m_input.append(buf, 0, n);
     parse();
-    if (isOpen() && m_input.size() < mostInputAhead)
+    if (isOpen() && m_input.size() < maxPipelinedBytes)
         waitRead();
 }
 
@@ -105,7 +106,7 @@
         m_parser->header_limit(static_cast<std::uint32_t>(m_context.limits.headerBytes));
         m_parser->body_limit(m_context.limits.bodyBytes);
         m_parser->eager(true);
-        m_since = bootTimeNow();
+        m_lastActivityAt = bootTimeNow();
     }
     while (!m_input.empty() && !m_parser->is_done()) {
         boost::system::error_code ec;
@@ -114,14 +115,14 @@
         if (ec == Http::error::need_more)
             return false;
         if (ec) {
-            refuseInput(ec);
+            rejectInput(ec);
             return false;
         }
     }
     return m_parser->is_done();
 }
 
-void CallerConnection::refuseInput(const boost::system::error_code &ec)
+void CallerConnection::rejectInput(const boost::system::error_code &ec)
 {
     ResponseHead head;
     head.result(static_cast<unsigned>(statusFor(ec)));
@@ -134,7 +135,7 @@
 
 void CallerConnection::dispatch()
 {
-    CallerRequest request{m_parser->release(), m_since};
+    CallerRequest request{m_parser->release(), m_lastActivityAt};
     m_parser.reset();
     m_isHead = request.message.method() == Http::verb::head;
     m_closesAfterAnswer = !request.message.keep_alive();
@@ -190,18 +191,19 @@
 
 bool CallerConnection::isBlocked() const
 {
-    return m_output.size() >= blockedBytes;
+    return m_output.size() >= blockedOutputBytes;
 }
 
 void CallerConnection::finishAnswer()
 {
     m_active.reset();
     m_isAnswering = false;
-    m_since = bootTimeNow();
+    m_lastActivityAt = bootTimeNow();
     flush();
     if (m_isInHandler || !isOpen() || m_closesAfterAnswer || m_input.empty())
         return;
-    // Not from here: the caller of this function may still be using what the next request changes.
+    // Parsing is deferred: the caller of this function may still use state that the next request
+    // changes.
     boost::asio::post(m_socket.executor(), [self = shared_from_this()] {
         self->parse();
         self->waitRead();
@@ -216,7 +218,7 @@
     boost::system::error_code ec;
     m_socket.write(m_output, ec);
     if (ec) {
-        lose();
+        connectionLost();
         return;
     }
     if (!m_output.isEmpty()) {
@@ -239,7 +241,7 @@
     });
 }
 
-void CallerConnection::lose()
+void CallerConnection::connectionLost()
 {
     const std::shared_ptr<ActiveRequest> active = std::move(m_active);
     m_active.reset();
--- a/src/libs/gateway/callerconnection.h
+++ b/src/libs/gateway/callerconnection.h
@@ -14,38 +14,38 @@
 
 namespace Gateway {
 
-/// Bounds on one caller's connection; they follow the configuration in force.
+/// Limits of one caller's connection, taken from the configuration in force.
 struct ConnectionLimits
 {
     std::size_t headerBytes = 16384;
     std::size_t bodyBytes = 4U << 20;
     Base::Duration headerTimeout = std::chrono::seconds(3);
     Base::Duration idleTimeout = std::chrono::seconds(15);
-    /// Set while the process leaves: each answer is the last one of its connection.
+    /// Each answer closes its connection; set while the process shuts down.
     bool closesAfterAnswer = false;
 };
 
-/// What all connections of a listener share. Outlives them.
+/// What all connections of a listener share. The referenced objects must outlive the connections.
 struct ConnectionContext
 {
     RequestHandler &handler;
     const ConnectionLimits &limits;
-    /// Scratch space that reads go to; used only within one handler.
+    /// Scratch buffer for reads; its content is valid only within one handler.
     std::string &readBuffer;
 };
 
-/// One caller's connection: reads requests one after the other and writes their answers.
+/// A caller's connection: reads requests one after the other and writes their answers.
 class CallerConnection final : public AnswerSink,
                                public std::enable_shared_from_this<CallerConnection>
 {
 public:
-    /// Takes over \a fd, a connected socket that does not block.
+    /// Takes ownership of \a fd, a connected non-blocking socket.
     CallerConnection(boost::asio::io_context &io, int fd, const ConnectionContext &context);
 
     void start(Base::TimePoint now);
-    /// Closes the connection if it has been idle, or slow with its header, for too long.
+    /// Closes the connection if its idle timeout or header timeout has passed.
     void checkTime(Base::TimePoint now);
-    /// Closes it if no request is open.
+    /// Closes the connection if no request is open.
     void closeIfIdle();
     bool isOpen() const { return m_socket.isOpen(); }
     bool isBusy() const { return m_active || m_parser || !m_output.isEmpty(); }
@@ -63,14 +63,14 @@
     void waitRead();
     void readable();
     void parse();
-    /// Takes bytes of the input until a request is whole; returns whether one is.
+    /// Parses input until a request is complete; returns whether one is.
     bool parseOne();
-    void refuseInput(const boost::system::error_code &ec);
+    void rejectInput(const boost::system::error_code &ec);
     void dispatch();
     void finishAnswer();
     void flush();
     void waitWrite();
-    void lose();
+    void connectionLost();
     void close();
 
     CallerSocket m_socket;
@@ -79,15 +79,16 @@
     std::string m_input;
     OutputBuffer m_output;
     std::shared_ptr<ActiveRequest> m_active;
-    /// Time of the last whole request or answer, or of the first byte of the request under way.
-    Base::TimePoint m_since;
+    /// When the connection started, the last answer ended, or the first byte of the current request
+    /// was parsed, whichever was last.
+    Base::TimePoint m_lastActivityAt;
     bool m_isAnswering = false;
     bool m_isInHandler = false;
     bool m_closesAfterAnswer = false;
     bool m_isHead = false;
     bool m_isWaitingRead = false;
     bool m_isWaitingWrite = false;
-    /// The server was held back since the output was last empty.
+    /// Whether the output has been blocked since it was last empty; the server is paused meanwhile.
     bool m_wasBlocked = false;
 };
 
