--- a/src/libs/gateway/callersocket.cpp
+++ b/src/libs/gateway/callersocket.cpp
@@ -50,13 +50,13 @@
     }
 }
 
-void CallerSocket::registerOnce()
+void CallerSocket::ensureRegistered()
 {
     if (m_socket.is_open() || m_fd < 0)
         return;
     boost::system::error_code ec;
     m_socket.assign(Tcp::v4(), m_fd, ec);
-    // If that failed, the wait fails too, and the connection ends at its idle timeout.
+    // If the registration fails, the wait fails too, and the idle timeout closes the connection.
     if (ec)
         return;
     m_socket.set_option(Tcp::no_delay(true), ec);
--- a/src/libs/gateway/callersocket.h
+++ b/src/libs/gateway/callersocket.h
@@ -9,16 +9,16 @@
 
 namespace Gateway {
 
-/// The socket of an accepted connection, which the event loop gets to know only when it is waited
-/// for.
+/// The socket of an accepted connection, which is registered with the event loop only at the first
+/// wait.
 ///
-/// Load: thousands of callers a second connect anew, ask once and are refused. Registered with the
-/// loop from the start, such a connection takes thirteen system calls; read, answered and closed at
-/// once it takes four.
+/// Under overload, thousands of callers a second open a connection, send one request and are
+/// refused. Such a connection takes 13 system calls if it is registered with the loop at once, and
+/// 4 if it is read, answered and closed without being registered.
 class CallerSocket
 {
 public:
-    /// Takes over \a fd, a connected socket that does not block.
+    /// Takes ownership of \a fd, a connected non-blocking socket.
     CallerSocket(boost::asio::io_context &io, int fd)
         : m_socket(io)
         , m_fd(fd)
@@ -30,11 +30,13 @@
     bool isOpen() const { return m_fd >= 0; }
     boost::asio::any_io_executor executor() { return m_socket.get_executor(); }
 
-    /// Reads what is there; fails with would_block if nothing is, with eof at the end of input.
+    /// Reads what is available into \a buffer and returns its size. Fails with would_block if
+    /// nothing is available and with eof at the end of input.
     std::size_t read(std::string &buffer, boost::system::error_code &ec) const;
-    /// Whether the other end has closed the connection and everything before that has been read.
+    /// Whether the caller has closed the connection and all its data have been read. Costs a system
+    /// call.
     bool isAtEnd() const;
-    /// Writes what the connection takes.
+    /// Writes as much of \a output as the socket accepts without blocking.
     void write(OutputBuffer &output, boost::system::error_code &ec) const;
     template <typename Handler>
     void waitRead(Handler handler)
@@ -52,10 +54,10 @@
     template <typename Handler>
     void wait(Tcp::socket::wait_type type, Handler handler)
     {
-        registerOnce();
+        ensureRegistered();
         m_socket.async_wait(type, std::move(handler));
     }
-    void registerOnce();
+    void ensureRegistered();
 
     Tcp::socket m_socket;
     int m_fd;
