--- a/src/libs/gateway/httplane.cpp
+++ b/src/libs/gateway/httplane.cpp
@@ -12,20 +12,20 @@
 
 namespace Http = boost::beast::http;
 
-constexpr std::size_t readSize = 65536;
+constexpr std::size_t readChunkSize = 65536;
 
 } // namespace
 
-HttpLane::HttpLane(boost::asio::io_context &io, const Settings::Address &address)
+HttpClient::HttpClient(boost::asio::io_context &io, const Settings::Address &address)
     : m_io(&io)
     , m_address(address)
     , m_socket(io)
 {}
 
-void HttpLane::call(const HttpCall &call, Base::Duration timeout, Base::TimePoint now, Done done)
+void HttpClient::call(const HttpCall &call, Base::Duration timeout, Base::TimePoint now, Done done)
 {
     m_done = std::move(done);
-    m_giveUpAt = now + timeout;
+    m_deadline = now + timeout;
     m_parser.emplace();
     m_parser->eager(true);
     m_parser->body_limit(std::numeric_limits<std::uint64_t>::max());
@@ -36,7 +36,7 @@
                 + std::to_string(call.body.size()) + "\r\n";
     m_output.clear();
     m_output.append(text + "\r\n" + call.body);
-    // Posted, so that a failure is not told from within this call.
+    // Posted, so that a failure is not reported from within this function.
     boost::asio::post(*m_io, [self = shared_from_this()] {
         if (self->m_isConnected)
             self->write();
@@ -45,13 +45,13 @@
     });
 }
 
-void HttpLane::checkTime(Base::TimePoint now)
+void HttpClient::checkTime(Base::TimePoint now)
 {
-    if (m_done && now >= m_giveUpAt)
+    if (m_done && now >= m_deadline)
         fail();
 }
 
-void HttpLane::connect()
+void HttpClient::connect()
 {
     m_socket = Tcp::socket(*m_io);
     boost::system::error_code ec;
@@ -74,7 +74,7 @@
     });
 }
 
-void HttpLane::write()
+void HttpClient::write()
 {
     if (!m_done)
         return;
@@ -94,7 +94,7 @@
                         });
 }
 
-void HttpLane::waitRead()
+void HttpClient::waitRead()
 {
     m_socket.async_wait(Tcp::socket::wait_read,
                         [self = shared_from_this(),
@@ -104,14 +104,14 @@
                         });
 }
 
-void HttpLane::readable()
+void HttpClient::readable()
 {
-    const std::size_t before = m_input.size();
-    m_input.resize(before + readSize);
+    const std::size_t oldSize = m_input.size();
+    m_input.resize(oldSize + readChunkSize);
     boost::system::error_code ec;
     const std::size_t n =
-        m_socket.read_some(boost::asio::buffer(m_input.data() + before, readSize), ec);
-    m_input.resize(before + n);
+        m_socket.read_some(boost::asio::buffer(m_input.data() + oldSize, readChunkSize), ec);
+    m_input.resize(oldSize + n);
     if (ec == boost::asio::error::would_block) {
         waitRead();
         return;
@@ -142,20 +142,20 @@
     finish(answer);
 }
 
-void HttpLane::fail()
+void HttpClient::fail()
 {
     close();
     if (m_done)
         finish(std::nullopt);
 }
 
-void HttpLane::finish(const std::optional<HttpAnswer> &answer)
+void HttpClient::finish(const std::optional<HttpAnswer> &answer)
 {
     const Done done = std::exchange(m_done, nullptr);
     done(answer);
 }
 
-void HttpLane::close()
+void HttpClient::close()
 {
     ++m_generation;
     m_isConnected = false;
--- a/src/libs/gateway/httplane.h
+++ b/src/libs/gateway/httplane.h
@@ -15,22 +15,25 @@
 
 namespace Gateway {
 
-/// One connection to the store, or to another host, and one call at a time.
+/// HTTP client for the store or another host, with one connection and one call at a time.
 ///
-/// A connection may fall silent for good without a reset, and one whose answer was lost delivers
-/// nothing further. So each call has a timeout of its own, and after a failure the next call
-/// opens a new connection.
-class HttpLane final : public std::enable_shared_from_this<HttpLane>
+/// A connection may stop delivering without ever being reset, and nothing follows on one whose
+/// answer was lost. Each call therefore has its own timeout, and the call after a failure opens a
+/// new connection.
+class HttpClient final : public std::enable_shared_from_this<HttpClient>
 {
 public:
-    /// Empty if no answer came. It is then not known whether the call was done.
+    /// Takes the answer, or an empty value if none came. In the latter case it is unknown whether
+    /// the call was executed.
     using Done = std::function<void(const std::optional<HttpAnswer> &)>;
 
-    HttpLane(boost::asio::io_context &io, const Settings::Address &address);
+    HttpClient(boost::asio::io_context &io, const Settings::Address &address);
 
     bool isBusy() const { return static_cast<bool>(m_done); }
-    /// \a done is called once, never from within this call.
+    /// Sends \a call; isBusy() must be false. \a done is called exactly once, never from within
+    /// this function.
     void call(const HttpCall &call, Base::Duration timeout, Base::TimePoint now, Done done);
+    /// Fails the call if its timeout has passed.
     void checkTime(Base::TimePoint now);
 
 private:
@@ -49,9 +52,10 @@
     OutputBuffer m_output;
     std::string m_input;
     Done m_done;
-    Base::TimePoint m_giveUpAt;
+    Base::TimePoint m_deadline;
     bool m_isConnected = false;
-    /// Counts connections, so that a handler of an older one is told from the present one's.
+    /// Number of the connection, by which a handler of an older connection recognizes that it is
+    /// obsolete.
     unsigned m_generation = 0;
 };
 
--- a/src/libs/gateway/knowledgeclient.cpp
+++ b/src/libs/gateway/knowledgeclient.cpp
@@ -55,7 +55,7 @@
             failed(what, "address");
             return;
         }
-        m_lane = std::make_shared<HttpLane>(*m_io, *address);
+        m_lane = std::make_shared<HttpClient>(*m_io, *address);
         m_laneAddress = question.peerAddress;
     }
     m_lane->call({"GET", pathOf(what), {}}, copyTimeout, now,
--- a/src/libs/gateway/knowledgeclient.h
+++ b/src/libs/gateway/knowledgeclient.h
@@ -58,7 +58,7 @@
     KnowledgeListener *m_listener;
     EventLog *m_log;
     std::map<Knowledge, Question> m_questions;
-    std::shared_ptr<HttpLane> m_lane;
+    std::shared_ptr<HttpClient> m_lane;
     std::string m_laneAddress;
 };
 
--- a/src/libs/gateway/storeclient.h
+++ b/src/libs/gateway/storeclient.h
@@ -124,8 +124,8 @@
     HostRow m_self;
     StoreListener *m_listener;
     EventLog *m_log;
-    std::shared_ptr<HttpLane> m_watchLane;
-    std::shared_ptr<HttpLane> m_readLane;
+    std::shared_ptr<HttpClient> m_watchLane;
+    std::shared_ptr<HttpClient> m_readLane;
 
     /// Of the last full reading.
     std::uint64_t m_readVersion = 0;
