--- a/src/libs/gateway/storeclient.cpp
+++ b/src/libs/gateway/storeclient.cpp
@@ -12,32 +12,33 @@
 
 using std::chrono::milliseconds;
 
-/// Beyond the wait: a store that is slowed down sixty times answers within 0.3 s.
-constexpr Base::Duration watchSlack = milliseconds(600);
+/// Added to the wait of a long poll: a store that is slowed down 60 times answers within 0.3 s.
+constexpr Base::Duration watchTimeoutMargin = milliseconds(600);
 constexpr Base::Duration readTimeout = milliseconds(900);
-/// After a first failure, and the longest pause after several. A store that is down for five
-/// seconds gets eight calls of a host instead of forty; its return is noticed within a second.
-constexpr Base::Duration retryPause = milliseconds(250);
-constexpr Base::Duration longestPause = milliseconds(1000);
-/// For a host that others wait for.
-constexpr Base::Duration longestPauseForZone = milliseconds(500);
-/// Between two calls of a host that the store turned away and others now read for.
-constexpr Base::Duration probePause = milliseconds(2000);
-/// A full reading now and then keeps the watched version within the store's history, which a
-/// store keeps for some twenty seconds.
+/// The pause after the first failure and its upper bound after several. A store that is down for
+/// 5 s gets 8 calls from a host instead of 40, and its recovery is noticed within 1 s.
+constexpr Base::Duration initialRetryPause = milliseconds(250);
+constexpr Base::Duration maxRetryPause = milliseconds(1000);
+/// Upper bound of the pause for a host that reads for its zone, since the other hosts wait for it.
+constexpr Base::Duration maxRetryPauseForZone = milliseconds(500);
+/// Between two calls of a host that the store has refused and for which another host reads now.
+constexpr Base::Duration probeInterval = milliseconds(2000);
+/// Periodic full readings keep the watched version within the store's history, which covers about
+/// 20 s.
 constexpr Base::Duration fullReadingInterval = std::chrono::seconds(8);
-/// Rows of hosts are only for finding each other at a start; reports between hosts do the rest.
+/// The rows serve only to discover other hosts at startup; from then on hosts exchange reports.
 constexpr Base::Duration hostReadInterval = std::chrono::seconds(30);
 constexpr Base::Duration firstHostReadInterval = std::chrono::seconds(1);
 constexpr Base::Duration hostWriteInterval = std::chrono::seconds(20);
 constexpr milliseconds hostRowFreshFor{45000};
-/// From the first reading of rows to the first writing: whoever hears in this time from a host that
-/// keeps its row need not write one. Hosts that start together read once more after that.
+/// Delay between the first reading of the rows and the first writing. A host that hears in this
+/// time from another one that refreshes its row need not write it. Hosts that start together read
+/// the rows once more after that (firstHostReadInterval).
 constexpr Base::Duration firstHostWriteDelay = milliseconds(500);
-/// Until a host that keeps no rows looks again whether it is to.
+/// Interval at which a host that refreshes no rows checks whether it has to.
 constexpr Base::Duration hostWriteCheckInterval = std::chrono::seconds(1);
-/// The store's limit for one transaction.
-constexpr std::size_t mostRowsOfCall = 100;
+/// The store accepts at most this many rows in one transaction.
+constexpr std::size_t maxRowsPerCall = 100;
 
 } // namespace
 
@@ -48,35 +49,37 @@
     , m_self(self)
     , m_listener(&listener)
     , m_log(&log)
-    , m_watchLane(std::make_shared<HttpClient>(io, address))
-    , m_readLane(std::make_shared<HttpClient>(io, address))
-    , m_watchPause(retryPause, longestPause)
-    , m_readPause(retryPause, longestPause)
-    , m_hostPause(retryPause, longestPause)
+    , m_watchClient(std::make_shared<HttpClient>(io, address))
+    , m_readClient(std::make_shared<HttpClient>(io, address))
+    , m_watchPause(initialRetryPause, maxRetryPause)
+    , m_readPause(initialRetryPause, maxRetryPause)
+    , m_hostPause(initialRetryPause, maxRetryPause)
 {}
 
 void StoreClient::advance(Base::TimePoint now)
 {
-    m_watchLane->checkTime(now);
-    m_readLane->checkTime(now);
-    if (!m_isHeld && !m_watchLane->isBusy() && now >= m_nextWatch) {
-        const bool isOld = isReading() && now >= m_nextFullReading;
-        if (m_needsReading || isOld || (isLost() && !isReading()))
+    m_watchClient->checkTime(now);
+    m_readClient->checkTime(now);
+    if (!m_areReadsDeferred && !m_watchClient->isBusy() && now >= m_nextWatch) {
+        const bool isFullReadingDue = isReading() && now >= m_nextFullReading;
+        if (m_needsReading || isFullReadingDue || (isLost() && !isReading()))
             readConfiguration(now);
         else if (isReading())
             watchConfiguration(now);
     }
-    // While the store is lost one call tells when it is back. Trying the others beside it would
-    // cost two to three times the calls of an outage, all paid for.
-    if (m_readLane->isBusy() || (isLost() && !m_isLeaving))
+    // While the store is lost, the configuration call alone probes for its return. Retrying the
+    // other calls too would take two to three times as many calls during an outage, and each call
+    // costs money.
+    if (m_readClient->isBusy() || (isLost() && !m_isLeaving))
         return;
-    // After a failure they are read once more, so that this host may stand in again for the reader.
-    const bool isAfterFailure = !m_isReadGood || m_areServersDoubtful;
+    // After a failure the servers are read once more even if another host reads for this one, so
+    // that this host can become a reader again.
+    const bool isAfterFailure = !m_isReadAvailable || m_areServersUnconfirmed;
     const bool isDue = isReading() || m_needsServers || isAfterFailure;
-    if (!m_isHeld && now >= m_nextServers && isDue)
+    if (!m_areReadsDeferred && now >= m_nextServerReading && isDue)
         readServers(now);
     else
-        callForHosts(now);
+        syncHostRows(now);
 }
 
 void StoreClient::configurationCopied(std::uint64_t version)
@@ -93,26 +96,26 @@
 
 void StoreClient::readConfiguration(Base::TimePoint now)
 {
-    m_watchLane->call(m_protocol->readConfiguration(), readTimeout, now,
-                      [this, now](const std::optional<HttpAnswer> &answer) {
-                          configurationAnswered(answer, now, false);
-                      });
+    m_watchClient->call(m_protocol->readConfiguration(), readTimeout, now,
+                        [this, now](const std::optional<HttpAnswer> &answer) {
+                            configurationAnswered(answer, now, false);
+                        });
 }
 
 void StoreClient::watchConfiguration(Base::TimePoint now)
 {
-    m_watchLane->call(m_protocol->watchConfiguration(m_readVersion, m_times.watchWait),
-                      m_times.watchWait + watchSlack, now,
-                      [this, now](const std::optional<HttpAnswer> &answer) {
-                          configurationAnswered(answer, now, true);
-                      });
+    m_watchClient->call(m_protocol->watchConfiguration(m_watchFromVersion, m_intervals.watchWait),
+                        m_intervals.watchWait + watchTimeoutMargin, now,
+                        [this, now](const std::optional<HttpAnswer> &answer) {
+                            configurationAnswered(answer, now, true);
+                        });
 }
 
 void StoreClient::configurationAnswered(const std::optional<HttpAnswer> &answer,
                                         Base::TimePoint askedAt, bool isWatch)
 {
     if (!answer) {
-        configurationFailed("no answer", lossOf(m_isWatchGood));
+        configurationFailed("no answer", failureScope(m_isWatchAvailable));
         return;
     }
     boost::leaf::try_handle_all(
@@ -124,18 +127,18 @@
         [&](const StoreHistoryGone &) {
             m_needsReading = true;
             m_nextWatch = Base::TimePoint{};
-            m_log->write(LogLine("configuration.history_gone").add("version", m_readVersion),
+            m_log->write(LogLine("configuration.history_gone").add("version", m_watchFromVersion),
                          bootTimeNow());
         },
         [&](const StoreRefused &it) {
             m_log->write(LogLine("store.refused").add("status", it.status), bootTimeNow());
-            configurationFailed("refused", Loss::Store);
+            configurationFailed("refused", FailureScope::Store);
         },
         [&](const MalformedStoreAnswer &it) {
             m_log->write(LogLine("store.malformed").add("what", it.what), bootTimeNow());
-            configurationFailed("malformed", Loss::Store);
+            configurationFailed("malformed", FailureScope::Store);
         },
-        [&] { configurationFailed("unknown", Loss::Store); });
+        [&] { configurationFailed("unknown", FailureScope::Store); });
 }
 
 void StoreClient::takeConfiguration(const ConfigurationReading &reading, const std::string &text,
@@ -143,18 +146,19 @@
 {
     m_listener->storeAnswered("configuration", true);
     m_watchPause.reset();
-    noteLane(m_isWatchGood, true, "configuration", "");
-    // An older state than one already seen proves nothing and must not come into force.
+    logAvailabilityChange(m_isWatchAvailable, true, "configuration", "");
+    // An answer from an older state of the store than one already seen confirms nothing and must
+    // not be applied.
     if (reading.storeVersion < m_newestVersion)
         return;
     m_newestVersion = reading.storeVersion;
     if (!isWatch) {
-        m_readVersion = reading.storeVersion;
+        m_watchFromVersion = reading.storeVersion;
         m_needsReading = false;
         m_nextFullReading = askedAt + fullReadingInterval;
     } else if (reading.configuration) {
-        // The change is known; watching on from before it would answer at once, again and again.
-        m_readVersion = reading.storeVersion;
+        // A watch from a version before this change would return at once, again and again.
+        m_watchFromVersion = reading.storeVersion;
     }
     m_nextWatch = Base::TimePoint{};
     if (reading.configuration && reading.configuration->version > m_configurationVersion) {
@@ -162,48 +166,50 @@
         m_listener->configurationRead(Routing::RouteTable::create(*reading.configuration), text);
     }
     if (m_configurationVersion == 0) {
-        // A host that others read for hears from them of the first configuration.
+        // A host for which another one reads learns of the first configuration from that host.
         m_needsReading = isReading();
-        m_nextWatch = askedAt + retryPause;
+        m_nextWatch = askedAt + initialRetryPause;
         return;
     }
     m_listener->configurationConfirmed(askedAt);
 }
 
-void StoreClient::configurationFailed(const char *why, Loss loss)
+void StoreClient::configurationFailed(const char *why, FailureScope scope)
 {
     m_listener->storeAnswered("configuration", false);
-    noteLane(m_isWatchGood, false, "configuration", why);
-    // A reading is answered at once where a watch is held: the store's return is noticed sooner.
+    logAvailabilityChange(m_isWatchAvailable, false, "configuration", why);
+    // A reading is answered at once, while a watch is held by the store: the store's return is
+    // noticed sooner.
     m_needsReading = m_needsReading || isReading();
-    // All connections may break or fall silent while the store is well. Counted as an outage that
-    // kept servers which had left for two seconds more, after this host was in touch again.
-    if (loss == Loss::Connection) {
+    // A connection may break or stop delivering while the store is healthy. If that counted as an
+    // outage, servers that have left would stay in use for 2 s more after this host has reached the
+    // store again.
+    if (scope == FailureScope::Connection) {
         m_nextWatch = Base::TimePoint{};
         return;
     }
-    // An outage may be shorter than the time between two readings of the servers, and meet this
-    // call only. Taken as gone at once, entries that lapsed in it would leave callers without
-    // servers. That this host has lost the store may itself end its duty to read; the outage counts
-    // all the same.
-    m_areServersDoubtful = true;
+    // An outage may be shorter than the interval between two readings of the servers and affect
+    // only this call. It is reported nevertheless: if entries that expired during it counted as
+    // servers that are gone, callers would be left without servers. It also counts if this host
+    // stops being a reader because it has lost the store.
+    m_areServersUnconfirmed = true;
     m_listener->storeFailed();
     const bool isProbe = !isReading() && !m_needsReading;
-    m_nextWatch = bootTimeNow() + (isProbe ? probePause : pauseAfterFailure(m_watchPause));
+    m_nextWatch = bootTimeNow() + (isProbe ? probeInterval : pauseAfterFailure(m_watchPause));
 }
 
 Base::Duration StoreClient::pauseAfterFailure(Routing::RetryPause &pause) const
 {
-    return pause.next(m_duty == Duty::ForZone ? longestPauseForZone : longestPause);
+    return pause.next(m_readerRole == Duty::ForZone ? maxRetryPauseForZone : maxRetryPause);
 }
 
 void StoreClient::readServers(Base::TimePoint now)
 {
     if (m_continueFrom.empty()) {
-        m_pages.clear();
-        m_unreadablePages.clear();
+        m_pendingServers.clear();
+        m_pendingUnreadableEntries.clear();
     }
-    m_readLane->call(
+    m_readClient->call(
         m_protocol->readServers(m_continueFrom), readTimeout, now,
         [this, now](const std::optional<HttpAnswer> &answer) { serversAnswered(answer, now); });
 }
@@ -211,82 +217,88 @@
 void StoreClient::serversAnswered(const std::optional<HttpAnswer> &answer, Base::TimePoint askedAt)
 {
     if (!answer) {
-        serversFailed("no answer", lossOf(m_isReadGood));
+        serversFailed("no answer", failureScope(m_isReadAvailable));
         return;
     }
     boost::leaf::try_handle_all(
         [&]() -> Base::Result<void> {
             BOOST_LEAF_AUTO(reading, m_protocol->servers(*answer));
-            m_nextServers = askedAt + m_times.serverInterval;
+            m_nextServerReading = askedAt + m_intervals.serverInterval;
             m_listener->storeAnswered("servers", true);
             m_readPause.reset();
-            noteLane(m_isReadGood, true, "servers", "");
+            logAvailabilityChange(m_isReadAvailable, true, "servers", "");
             if (reading.storeVersion < m_serversVersion) {
                 m_continueFrom.clear();
                 return {};
             }
             m_serversVersion = reading.storeVersion;
-            m_pages.insert(m_pages.end(), reading.servers.begin(), reading.servers.end());
-            m_unreadablePages.merge(std::set<std::string>(reading.unreadable));
+            m_pendingServers.insert(m_pendingServers.end(), reading.servers.begin(),
+                                    reading.servers.end());
+            m_pendingUnreadableEntries.merge(std::set<std::string>(reading.unreadable));
             m_continueFrom = reading.continueFrom;
             if (!m_continueFrom.empty()) {
-                m_nextServers = Base::TimePoint{};
+                m_nextServerReading = Base::TimePoint{};
                 return {};
             }
             m_needsServers = false;
-            m_areServersDoubtful = false;
-            // Told once a change: the same entry is read again twice a second for as long as it
-            // lies there.
-            if (std::exchange(m_unreadable, m_unreadablePages) != m_unreadablePages)
-                m_listener->unreadableChanged(m_unreadable);
-            m_listener->serversRead(m_pages, askedAt);
+            m_areServersUnconfirmed = false;
+            // Reported only on a change, since the same entry is read again about twice a second
+            // for as long as it is in the store.
+            if (std::exchange(m_unreadableEntries, m_pendingUnreadableEntries)
+                != m_pendingUnreadableEntries)
+                m_listener->unreadableChanged(m_unreadableEntries);
+            m_listener->serversRead(m_pendingServers, askedAt);
             return {};
         },
-        [&](const StoreRefused &) { serversFailed("refused", Loss::Store); },
-        [&](const MalformedStoreAnswer &it) { serversFailed(it.what.c_str(), Loss::Store); },
-        [&] { serversFailed("unknown", Loss::Store); });
+        [&](const StoreRefused &) { serversFailed("refused", FailureScope::Store); },
+        [&](const MalformedStoreAnswer &it) {
+            serversFailed(it.what.c_str(), FailureScope::Store);
+        },
+        [&] { serversFailed("unknown", FailureScope::Store); });
 }
 
-void StoreClient::serversFailed(const char *why, Loss loss)
+void StoreClient::serversFailed(const char *why, FailureScope scope)
 {
     m_listener->storeAnswered("servers", false);
-    noteLane(m_isReadGood, false, "servers", why);
+    logAvailabilityChange(m_isReadAvailable, false, "servers", why);
     m_continueFrom.clear();
-    if (loss == Loss::Connection) {
-        m_nextServers = Base::TimePoint{};
+    if (scope == FailureScope::Connection) {
+        m_nextServerReading = Base::TimePoint{};
         return;
     }
     const bool isProbe = !isReading() && !m_needsServers;
-    m_nextServers = bootTimeNow() + (isProbe ? probePause : pauseAfterFailure(m_readPause));
+    m_nextServerReading =
+        bootTimeNow() + (isProbe ? probeInterval : pauseAfterFailure(m_readPause));
     m_listener->storeFailed();
 }
 
-bool StoreClient::callForHosts(Base::TimePoint now)
+bool StoreClient::syncHostRows(Base::TimePoint now)
 {
     const auto done = [this](const std::optional<HttpAnswer> &answer) { hostsAnswered(answer); };
     if (m_isLeaving) {
         if (std::exchange(m_isRowRemoved, true))
             return false;
-        m_readLane->call(m_protocol->removeHost(m_self.host), readTimeout, now,
-                         [](const std::optional<HttpAnswer> &) {
-                             // A row that stays behind is left out by its age.
-                         });
+        m_readClient->call(m_protocol->removeHost(m_self.host), readTimeout, now,
+                           [](const std::optional<HttpAnswer> &) {
+                               // If the removal fails, other hosts ignore the row once it is old.
+                           });
         return true;
     }
-    const bool isFirst = m_nextHostRead == Base::TimePoint{};
-    // On a large fleet, who hears from the leader of its zone hears from it of all others, too.
-    const bool findsHosts = isFirst || m_findsHosts || m_duty == Duty::ForZone;
-    if (now >= m_nextHostRead && findsHosts) {
-        m_nextHostRead = now + (isFirst ? firstHostReadInterval : hostReadInterval);
-        m_readLane->call(m_protocol->readHosts(), readTimeout, now, done);
+    const bool isFirst = m_nextHostReading == Base::TimePoint{};
+    // In a large fleet, a host that gets reports from the leader of its zone learns of all other
+    // hosts from them.
+    const bool findsHosts = isFirst || m_isHostDiscoveryEnabled || m_readerRole == Duty::ForZone;
+    if (now >= m_nextHostReading && findsHosts) {
+        m_nextHostReading = now + (isFirst ? firstHostReadInterval : hostReadInterval);
+        m_readClient->call(m_protocol->readHosts(), readTimeout, now, done);
         return true;
     }
-    if (now < m_nextHostWrite || m_storeTime == Base::Milliseconds(0))
+    if (now < m_nextHostWriting || m_storeTime == Base::Milliseconds(0))
         return false;
     if (m_rowsToWrite.empty())
         m_rowsToWrite = m_listener->rowsToKeep();
     if (m_rowsToWrite.empty()) {
-        m_nextHostWrite = now + hostWriteCheckInterval;
+        m_nextHostWriting = now + hostWriteCheckInterval;
         return false;
     }
     writeHosts(now);
@@ -295,37 +307,37 @@
 
 void StoreClient::writeHosts(Base::TimePoint now)
 {
-    const std::size_t n = std::min(m_rowsToWrite.size(), mostRowsOfCall);
+    const std::size_t n = std::min(m_rowsToWrite.size(), maxRowsPerCall);
     const std::vector<HostRow> rows(m_rowsToWrite.end() - static_cast<std::ptrdiff_t>(n),
                                     m_rowsToWrite.end());
     m_rowsToWrite.resize(m_rowsToWrite.size() - n);
     if (m_rowsToWrite.empty())
-        m_nextHostWrite = now + hostWriteInterval;
+        m_nextHostWriting = now + hostWriteInterval;
     const Base::Milliseconds storeNow =
-        m_storeTime + std::chrono::duration_cast<milliseconds>(now - m_storeTimeAt);
-    m_readLane->call(m_protocol->writeHosts(rows, storeNow), readTimeout, now,
-                     [this](const std::optional<HttpAnswer> &answer) {
-                         if (!answer || answer->status != 200)
-                             m_nextHostWrite = bootTimeNow() + m_hostPause.next();
-                         else
-                             m_hostPause.reset();
-                     });
+        m_storeTime + std::chrono::duration_cast<milliseconds>(now - m_storeTimeReadAt);
+    m_readClient->call(m_protocol->writeHosts(rows, storeNow), readTimeout, now,
+                       [this](const std::optional<HttpAnswer> &answer) {
+                           if (!answer || answer->status != 200)
+                               m_nextHostWriting = bootTimeNow() + m_hostPause.next();
+                           else
+                               m_hostPause.reset();
+                       });
 }
 
 void StoreClient::hostsAnswered(const std::optional<HttpAnswer> &answer)
 {
     m_listener->storeAnswered("hosts", answer.has_value());
     if (!answer) {
-        m_nextHostRead = bootTimeNow() + m_hostPause.next();
+        m_nextHostReading = bootTimeNow() + m_hostPause.next();
         return;
     }
     boost::leaf::try_handle_all(
         [&]() -> Base::Result<void> {
             BOOST_LEAF_AUTO(reading, m_protocol->hosts(*answer, hostRowFreshFor));
             if (m_storeTime == Base::Milliseconds(0))
-                m_nextHostWrite = bootTimeNow() + firstHostWriteDelay;
+                m_nextHostWriting = bootTimeNow() + firstHostWriteDelay;
             m_storeTime = reading.storeTime;
-            m_storeTimeAt = bootTimeNow();
+            m_storeTimeReadAt = bootTimeNow();
             m_hostPause.reset();
             m_listener->hostsRead(reading.hosts);
             return {};
@@ -333,11 +345,12 @@
         [&] {
             m_log->write(LogLine("store.hosts_unread").add("status", answer->status),
                          bootTimeNow());
-            m_nextHostRead = bootTimeNow() + m_hostPause.next();
+            m_nextHostReading = bootTimeNow() + m_hostPause.next();
         });
 }
 
-void StoreClient::noteLane(bool &isGood, bool isGoodNow, const char *what, const char *why)
+void StoreClient::logAvailabilityChange(bool &isGood, bool isGoodNow, const char *what,
+                                        const char *why)
 {
     if (std::exchange(isGood, isGoodNow) == isGoodNow)
         return;
--- a/src/libs/gateway/storeclient.h
+++ b/src/libs/gateway/storeclient.h
@@ -17,84 +17,91 @@
 
 class EventLog;
 
-/// Told what the store says.
+/// Receives what a StoreClient reads from the store, and the state of its calls.
 class StoreListener
 {
 public:
     virtual ~StoreListener() = default;
-    /// \a text is the store's answer, from which \a table was read.
+    /// A newer configuration was read. \a text is the store's answer that \a table was parsed from.
     virtual void configurationRead(std::shared_ptr<const Routing::RouteTable> table,
                                    const std::string &text) = 0;
-    /// What is known was still current after \a askedAt.
+    /// The known configuration is current: the store confirmed it in answer to a call that was sent
+    /// at \a askedAt.
     virtual void configurationConfirmed(Base::TimePoint askedAt) = 0;
+    /// The entries of all servers were read; the call for the last page was sent at \a askedAt.
     virtual void serversRead(const std::vector<Routing::RegisteredServer> &servers,
                              Base::TimePoint askedAt) = 0;
-    /// The store does not take calls, or not from this host. Entries of servers may have lapsed
+    /// The store fails calls, or refuses those of this host. Entries of servers may expire
     /// meanwhile although their servers run.
     virtual void storeFailed() = 0;
-    /// The entries of servers that could not be read are others than before.
+    /// The set of server entries that cannot be parsed has changed to \a entries.
     virtual void unreadableChanged(const std::set<std::string> &entries) = 0;
+    /// A call ended; \a call is its name in metrics.
     virtual void storeAnswered(const char *call, bool isGood) = 0;
+    /// The rows of gateway hosts were read.
     virtual void hostsRead(const std::vector<HostRow> &hosts) = 0;
-    /// Rows that this host is to keep fresh; empty if another host does that for it.
+    /// The host rows that this host rewrites before they expire; empty if another host does that.
     virtual std::vector<HostRow> rowsToKeep() const = 0;
 };
 
-/// Keeps this host in touch with the platform's store: the configuration, the backend servers'
-/// entries and the rows by which gateway hosts find each other.
+/// Reads the platform's store: the configuration, the entries of the backend servers and the rows
+/// by which gateway hosts discover each other. It also writes the rows of hosts.
 ///
-/// The configuration is watched by one call that the store holds until something changes, for a
-/// second at most: each answer also proves that what is known is current. The version watched
-/// from is that of the last full reading and not that of the last answer, since the store may
-/// answer a watch without the changes of the last moment. The servers' entries change all the
-/// time with their heartbeats, so they are read whole at an interval.
+/// The configuration is watched with a long poll, which the store holds until something changes,
+/// for a second at most. Each answer also confirms that the known configuration is current. The
+/// watch starts from the version of the last full reading, or of the last change that a watch
+/// returned, and not from that of the last answer, since the store may answer a watch without the
+/// most recent changes. The entries of servers change all the time with their heartbeats, so they
+/// are polled as a whole.
 ///
-/// All this is done only while this host is to read for itself or others (setDuty()). Else it
-/// reads once, and again when it is told that something has changed; and not even once while other
-/// hosts may hand it what they have read (setHeld()).
+/// The store is polled only while this host reads it for itself or for others (setReaderRole()).
+/// Otherwise this host reads it once, and again when it is notified of a change. While other hosts
+/// may provide copies of what they have read, it reads neither the configuration nor the servers
+/// (setReadsDeferred()).
 ///
-/// Load: the store is down, or turns some hosts away, and every call is paid for. The pauses
-/// between failed calls grow, and a host that others stand in for only asks now and then whether
-/// the store takes its calls again.
+/// Each call costs money, also while the store is down or refuses some hosts. The pauses between
+/// failed calls therefore grow, and a host for which another one reads only probes at long
+/// intervals whether the store accepts its calls again.
 class StoreClient
 {
 public:
     enum class Duty {
-        None,    ///< Another host reads for this one.
-        Self,    ///< Nobody has read for this host of late.
-        ForZone, ///< Others take what this host reads.
+        None,    ///< Another host reads the store for this one.
+        Self,    ///< This host reads for itself, since no other has done so recently.
+        ForZone, ///< This host reads for all hosts of its availability zone.
     };
 
-    /// The arguments outlive the client.
+    /// The arguments, except \a address and \a self, must outlive the client.
     StoreClient(boost::asio::io_context &io, const Settings::Address &address,
                 const StoreProtocol &protocol, const HostRow &self, StoreListener &listener,
                 EventLog &log);
 
-    /// Does what is due. Call it every few ten milliseconds.
+    /// Starts the calls that are due. To be called every few tens of milliseconds.
     void advance(Base::TimePoint now);
-    void setDuty(Duty duty) { m_duty = duty; }
-    void setTimes(const StoreTimes &times) { m_times = times; }
-    /// Whether the rows are read again at times, also by a host that others read for.
-    void setFindsHosts(bool findsHosts) { m_findsHosts = findsHosts; }
-    /// While held, only the rows of hosts are read and written.
-    void setHeld(bool isHeld) { m_isHeld = isHeld; }
-    /// Whether the newest call for the configuration failed.
-    bool isLost() const { return !m_isWatchGood; }
+    void setDuty(Duty role) { m_readerRole = role; }
+    void setTimes(const StoreTimes &intervals) { m_intervals = intervals; }
+    /// Whether a host that does not read for its zone still polls the rows of hosts.
+    void setFindsHosts(bool isEnabled) { m_isHostDiscoveryEnabled = isEnabled; }
+    /// While reads are deferred, only the rows of hosts are read and written.
+    void setHeld(bool isDeferred) { m_areReadsDeferred = isDeferred; }
+    /// Whether the last call for the configuration failed.
+    bool isLost() const { return !m_isWatchAvailable; }
     /// Whether the store has answered that there is no configuration yet.
     bool isConfigurationMissing() const
     {
         return m_configurationVersion == 0 && m_newestVersion > 0;
     }
-    /// Version of the store at the last whole reading of the servers.
+    /// Version of the store at the last reading of the servers.
     std::uint64_t serversVersion() const { return m_serversVersion; }
-    /// Another host has seen a newer configuration, or other servers, and does not hand them out.
+    /// Another host reports a newer configuration, or other servers, but provides no copy of them:
+    /// they are read from the store.
     void configurationChanged() { m_needsReading = true; }
     void serversChanged() { m_needsServers = true; }
-    /// Taken from another host; \a version is the configuration's own, or the store's at the
-    /// reading of the servers.
+    /// A copy was received from another host. \a version is that of the configuration, or that of
+    /// the store when the servers were read.
     void configurationCopied(std::uint64_t version);
     void serversCopied(std::uint64_t version);
-    /// Takes this host's row away; it leaves.
+    /// Removes this host's row from the store, as the process shuts down.
     void leave() { m_isLeaving = true; }
 
 private:
@@ -104,67 +111,72 @@
                                bool isWatch);
     void takeConfiguration(const ConfigurationReading &reading, const std::string &text,
                            Base::TimePoint askedAt, bool isWatch);
-    /// What is known to be lost: an answer on one connection, or the store itself.
-    enum class Loss { Connection, Store };
-    void configurationFailed(const char *why, Loss loss);
+    /// What a failure affects: one connection only, or the store as a whole.
+    enum class FailureScope { Connection, Store };
+    void configurationFailed(const char *why, FailureScope scope);
     void readServers(Base::TimePoint now);
     void serversAnswered(const std::optional<HttpAnswer> &answer, Base::TimePoint askedAt);
-    void serversFailed(const char *why, Loss loss);
-    /// The loss that a call without an answer shows: only that of its connection, where a call on a
-    /// new one was good before.
-    static Loss lossOf(bool wasGood) { return wasGood ? Loss::Connection : Loss::Store; }
-    bool callForHosts(Base::TimePoint now);
+    void serversFailed(const char *why, FailureScope scope);
+    /// Scope of a call that got no answer. If the call before it succeeded, only the connection may
+    /// be broken; the next call uses a new one.
+    static FailureScope failureScope(bool wasGood)
+    {
+        return wasGood ? FailureScope::Connection : FailureScope::Store;
+    }
+    bool syncHostRows(Base::TimePoint now);
     void writeHosts(Base::TimePoint now);
     void hostsAnswered(const std::optional<HttpAnswer> &answer);
-    bool isReading() const { return m_duty != Duty::None; }
+    bool isReading() const { return m_readerRole != Duty::None; }
     Base::Duration pauseAfterFailure(Routing::RetryPause &pause) const;
-    void noteLane(bool &isGood, bool isGoodNow, const char *what, const char *why);
+    void logAvailabilityChange(bool &isGood, bool isGoodNow, const char *what, const char *why);
 
     const StoreProtocol *m_protocol;
     HostRow m_self;
     StoreListener *m_listener;
     EventLog *m_log;
-    std::shared_ptr<HttpClient> m_watchLane;
-    std::shared_ptr<HttpClient> m_readLane;
+    std::shared_ptr<HttpClient> m_watchClient;
+    std::shared_ptr<HttpClient> m_readClient;
 
-    /// Of the last full reading.
-    std::uint64_t m_readVersion = 0;
-    /// Of the newest answer.
+    /// Version from which changes are watched: that of the last full reading or watched change.
+    std::uint64_t m_watchFromVersion = 0;
+    /// Highest version of the store in an answer about the configuration.
     std::uint64_t m_newestVersion = 0;
     std::uint64_t m_configurationVersion = 0;
-    StoreTimes m_times;
-    Duty m_duty = Duty::Self;
-    bool m_isHeld = false;
-    bool m_findsHosts = true;
+    StoreTimes m_intervals;
+    Duty m_readerRole = Duty::Self;
+    bool m_areReadsDeferred = false;
+    bool m_isHostDiscoveryEnabled = true;
     bool m_needsReading = true;
     bool m_needsServers = true;
     Base::TimePoint m_nextWatch{};
     Base::TimePoint m_nextFullReading{};
 
-    std::vector<Routing::RegisteredServer> m_pages;
-    std::set<std::string> m_unreadablePages;
-    /// Of the last whole reading.
-    std::set<std::string> m_unreadable;
+    /// What the pages read so far contain, until the last page has been read.
+    std::vector<Routing::RegisteredServer> m_pendingServers;
+    std::set<std::string> m_pendingUnreadableEntries;
+    /// Keys of the unreadable entries at the last complete reading of the servers.
+    std::set<std::string> m_unreadableEntries;
     std::string m_continueFrom;
     std::uint64_t m_serversVersion = 0;
-    Base::TimePoint m_nextServers{};
+    Base::TimePoint m_nextServerReading{};
     Routing::RetryPause m_watchPause;
     Routing::RetryPause m_readPause;
     Routing::RetryPause m_hostPause;
 
-    /// The store's clock when it was last told, and when that was.
+    /// Last known time of the store's clock, and the local time at which it was received.
     Base::Milliseconds m_storeTime{0};
-    Base::TimePoint m_storeTimeAt{};
-    Base::TimePoint m_nextHostRead{};
-    Base::TimePoint m_nextHostWrite{};
-    /// Of those that are due, the ones that no call has taken yet.
+    Base::TimePoint m_storeTimeReadAt{};
+    Base::TimePoint m_nextHostReading{};
+    Base::TimePoint m_nextHostWriting{};
+    /// The due rows that are not part of a call yet.
     std::vector<HostRow> m_rowsToWrite;
     bool m_isLeaving = false;
     bool m_isRowRemoved = false;
-    bool m_isWatchGood = true;
-    bool m_isReadGood = true;
-    /// A watch failed since the servers were last read whole.
-    bool m_areServersDoubtful = false;
+    bool m_isWatchAvailable = true;
+    bool m_isReadAvailable = true;
+    /// A call for the configuration has failed at the store since the servers were last read
+    /// completely.
+    bool m_areServersUnconfirmed = false;
 };
 
 } // namespace Gateway
