--- a/src/libs/gateway/storeprotocol.h
+++ b/src/libs/gateway/storeprotocol.h
@@ -14,7 +14,7 @@
 
 namespace Gateway {
 
-/// One HTTP call of the store, or of another host.
+/// An HTTP request to the store or to another host.
 struct HttpCall
 {
     std::string method = "GET";
@@ -22,35 +22,35 @@
     std::string body;
 };
 
-/// Its answer, as HTTP has it.
+/// The answer to an HttpCall.
 struct HttpAnswer
 {
     unsigned status = 0;
     std::string body;
 };
 
-/// The store answered, but did not do what was asked.
+/// Error: the store answered with another status than success.
 struct StoreRefused
 {
     unsigned status = 0;
 };
 
-/// The changes asked for are no longer kept; everything has to be read anew.
+/// Error: the store's history no longer covers the requested version; a full reading is required.
 struct StoreHistoryGone
 {};
 
-/// The store's answer cannot be read.
+/// Error: the store's answer cannot be parsed.
 struct MalformedStoreAnswer
 {
     std::string what;
 };
 
-/// What a reading of the configuration says.
+/// Result of reading or watching the configuration.
 struct ConfigurationReading
 {
-    /// Version of the store at the moment of the reading; it never goes back.
+    /// Version of the store at the moment of the reading. The store never decreases it.
     std::uint64_t storeVersion = 0;
-    /// Empty if there is no configuration, or if it has not changed.
+    /// Empty if there is no configuration, or if a watch returned no change of it.
     std::optional<Routing::RoutingConfiguration> configuration;
 };
 
@@ -59,13 +59,14 @@
 {
     std::uint64_t storeVersion = 0;
     std::vector<Routing::RegisteredServer> servers;
-    /// Keys of entries that cannot be read or say what no server says. They name no server to use.
+    /// Keys of entries that cannot be parsed or hold values that no server writes; they are not
+    /// used.
     std::set<std::string> unreadable;
-    /// Not empty if there are more: what to continue from.
+    /// Where the next page begins; empty on the last page.
     std::string continueFrom;
 };
 
-/// How a gateway host is found by the others.
+/// The row by which other gateway hosts discover a host.
 struct HostRow
 {
     Base::HostId host;
@@ -75,37 +76,39 @@
     bool operator==(const HostRow &) const = default;
 };
 
+/// Result of reading the rows of gateway hosts.
 struct HostReading
 {
-    /// Rows that were written not long ago.
+    /// The rows that are not too old.
     std::vector<HostRow> hosts;
-    /// The store's own steady clock.
+    /// Current time of the store's own steady clock.
     Base::Milliseconds storeTime{0};
 };
 
-/// How the deployment's store is spoken to: makes calls and reads answers, decides nothing.
-/// Every read function takes any bytes, and fails with StoreRefused, StoreHistoryGone or
-/// MalformedStoreAnswer. Rows of servers and hosts may come from other writers: one that cannot be
-/// read is left out, and the others hold.
+/// Encodes calls to the deployment's store and decodes their answers; it makes no decisions. Every
+/// decoding function accepts arbitrary bytes and fails with StoreRefused, StoreHistoryGone or
+/// MalformedStoreAnswer. Other programs may write rows of servers and hosts, too: a row that cannot
+/// be parsed is left out and does not affect the others.
 class StoreProtocol
 {
 public:
     virtual ~StoreProtocol() = default;
 
     virtual HttpCall readConfiguration() const = 0;
-    /// Waits for a change after \a version, for \a wait at most.
+    /// A long poll: the store answers on the first change after \a version, or once \a wait is
+    /// over.
     virtual HttpCall watchConfiguration(std::uint64_t version, Base::Milliseconds wait) const = 0;
     virtual Base::Result<ConfigurationReading> configuration(const HttpAnswer &answer) const = 0;
 
-    /// From the first entry, or from \a continueFrom of the page before.
+    /// Reads the first page if \a continueFrom is empty, else the page that begins there.
     virtual HttpCall readServers(const std::string &continueFrom) const = 0;
     virtual Base::Result<ServerReading> servers(const HttpAnswer &answer) const = 0;
 
     virtual HttpCall readHosts() const = 0;
-    /// Rows older than \a freshFor by the store's clock are left out.
+    /// Leaves out rows that are older than \a freshFor by the store's clock.
     virtual Base::Result<HostReading> hosts(const HttpAnswer &answer,
                                             Base::Milliseconds freshFor) const = 0;
-    /// Of at most a hundred rows.
+    /// Writes \a rows, at most 100, stamped with \a storeTime.
     virtual HttpCall writeHosts(const std::vector<HostRow> &rows,
                                 Base::Milliseconds storeTime) const = 0;
     virtual HttpCall removeHost(const Base::HostId &host) const = 0;
