--- a/src/libs/gateway/knowledgeclient.cpp
+++ b/src/libs/gateway/knowledgeclient.cpp
@@ -58,7 +58,7 @@
         m_lane = std::make_shared<HttpClient>(*m_io, *address);
         m_laneAddress = question.peerAddress;
     }
-    m_lane->call({"GET", pathOf(what), {}}, copyTimeout, now,
+    m_lane->call({"GET", copyPath(what), {}}, copyTimeout, now,
                  [this, what, now](const std::optional<HttpAnswer> &answer) {
                      answered(what, answer, now);
                  });
@@ -88,7 +88,7 @@
 void KnowledgeClient::failed(Knowledge what, const char *why)
 {
     m_log->write(LogLine("copy.failed")
-                     .add("what", pathOf(what) + 1)
+                     .add("what", copyPath(what) + 1)
                      .add("host", m_laneAddress)
                      .add("why", why),
                  bootTimeNow());
--- a/src/libs/gateway/knowledgecopy.cpp
+++ b/src/libs/gateway/knowledgecopy.cpp
@@ -8,13 +8,13 @@
 
 using Json = nlohmann::json;
 
-/// First element of a copy; another number is another form, which is not read.
-constexpr std::uint64_t form = 1;
-constexpr std::size_t elements = 3;
+/// First element of an encoded copy; a copy with another version is rejected.
+constexpr std::uint64_t formatVersion = 1;
+constexpr std::size_t elementCount = 3;
 
 } // namespace
 
-const char *pathOf(Knowledge what)
+const char *copyPath(Knowledge what)
 {
     return what == Knowledge::Configuration ? "/configuration" : "/servers";
 }
@@ -22,7 +22,7 @@
 std::string encodeCopy(const ConfigurationCopy &copy)
 {
     const auto age = static_cast<std::uint64_t>(std::max<std::int64_t>(0, copy.proofAge.count()));
-    const Json json = {form, age, Json::binary({copy.text.begin(), copy.text.end()})};
+    const Json json = {formatVersion, age, Json::binary({copy.text.begin(), copy.text.end()})};
     std::string bytes;
     Json::to_cbor(json, bytes);
     return bytes;
@@ -34,10 +34,10 @@
     try {
         json = Json::from_cbor(bytes.begin(), bytes.end(), true, false);
     } catch (const Json::exception &) {
-        // A length that no memory holds is thrown although exceptions are not asked for.
+        // The parser throws on a length beyond any memory, although exceptions are disabled.
         return boost::leaf::new_error(MalformedCopy());
     }
-    const bool isCopy = json.is_array() && json.size() == elements && json[0] == form
+    const bool isCopy = json.is_array() && json.size() == elementCount && json[0] == formatVersion
                         && json[1].is_number_unsigned() && json[2].is_binary();
     if (!isCopy)
         return boost::leaf::new_error(MalformedCopy());
--- a/src/libs/gateway/knowledgecopy.h
+++ b/src/libs/gateway/knowledgecopy.h
@@ -10,39 +10,40 @@
 
 namespace Gateway {
 
-/// What one host knows of the store and hands to another one.
+/// The kinds of store data of which hosts fetch copies from each other.
 enum class Knowledge : std::uint8_t { Configuration, Servers };
 
-/// Path of \a what at a host's peer address, over HTTP.
-const char *pathOf(Knowledge what);
+/// HTTP path of \a what at a host's peer address.
+const char *copyPath(Knowledge what);
 
-/// The configuration that a host has in force.
+/// Copy of the configuration that a host has in force.
 struct ConfigurationCopy
 {
-    /// How long ago, at the moment of answering, the question was asked whose answer proved the
-    /// configuration current.
+    /// Time between the call to the store whose answer confirmed that the configuration was current
+    /// and the answer that carries this copy.
     Base::Milliseconds proofAge{0};
-    /// The store's own answer, as it came.
+    /// The store's answer, unchanged.
     std::string text;
 };
 
-/// The bytes are no copy.
+/// Error: the bytes are no encoded copy.
 struct MalformedCopy
 {};
 
-/// CBOR.
+/// Encodes \a copy as CBOR.
 std::string encodeCopy(const ConfigurationCopy &copy);
-/// Takes any bytes; fails with MalformedCopy.
+/// Decodes a copy. \a bytes may be arbitrary; fails with MalformedCopy.
 Base::Result<ConfigurationCopy> decodeCopy(std::string_view bytes);
 
-/// Where a host's knowledge of the store is taken from. Empty while nothing is known, or while
-/// there has been no proof of it of late: whoever asked is to ask the store.
+/// Provides the copies of store data that this host hands to other hosts. A copy is empty while
+/// this host has no such data, or none that was confirmed recently; the host that asked then has to
+/// read the store.
 class KnowledgeSource
 {
 public:
     virtual ~KnowledgeSource() = default;
     virtual std::optional<ConfigurationCopy> configurationCopy() const = 0;
-    /// A report whose changes of servers are all that are usable, each as found.
+    /// A report that lists every usable server as a change of the kind "found".
     virtual std::optional<HostReport> serversCopy() const = 0;
 };
 
--- a/src/libs/gateway/knowledgehandler.cpp
+++ b/src/libs/gateway/knowledgehandler.cpp
@@ -27,9 +27,9 @@
 std::shared_ptr<ActiveRequest> KnowledgeHandler::handle(CallerRequest request, AnswerSink &sink)
 {
     const std::string path(request.message.target());
-    if (path == pathOf(Knowledge::Configuration))
+    if (path == copyPath(Knowledge::Configuration))
         answerCopy(sink, m_source->configurationCopy(), encodeCopy);
-    else if (path == pathOf(Knowledge::Servers))
+    else if (path == copyPath(Knowledge::Servers))
         answerCopy(sink, m_source->serversCopy(), encodeReport);
     else
         answer(sink, Http::status::not_found, {});
--- a/src/libs/gateway/knowledgehandler.h
+++ b/src/libs/gateway/knowledgehandler.h
@@ -5,12 +5,12 @@
 
 namespace Gateway {
 
-/// Hands this host's knowledge of the store to other hosts. Answers 503 while it has none that is
-/// proved, and 404 for what is not asked between hosts.
+/// Serves copies of this host's store data to other hosts. Answers 503 while this host has no
+/// recently confirmed data, and 404 for unknown paths.
 class KnowledgeHandler final : public RequestHandler
 {
 public:
-    /// \a source outlives the handler.
+    /// \a source must outlive the handler.
     explicit KnowledgeHandler(const KnowledgeSource &source)
         : m_source(&source)
     {}
