--- a/src/libs/gateway/knowledgeclient.cpp
+++ b/src/libs/gateway/knowledgeclient.cpp
@@ -11,10 +11,11 @@
 
 using std::chrono::milliseconds;
 
-/// A neighbour answers within some milliseconds; one that is behind with its work, or down, must
-/// not cost the time in which a change has to be in force.
+/// A neighbour answers within a few milliseconds. The timeout is short since waiting for one that
+/// is overloaded or down uses up the time within which a change has to be in force.
 constexpr Base::Duration copyTimeout = milliseconds(300);
-/// Between two questions for the same thing: what is newer by then is asked for once.
+/// Minimum interval between two requests for the same data, so that several changes within it are
+/// fetched with one request.
 constexpr Base::Duration copyInterval = milliseconds(150);
 
 } // namespace
@@ -28,47 +29,47 @@
 
 void KnowledgeClient::want(Knowledge what, const std::string &peerAddress)
 {
-    Question &question = m_questions[what];
-    question.isWanted = true;
-    question.peerAddress = peerAddress;
+    PendingCopy &pending = m_pendingCopies[what];
+    pending.isRequested = true;
+    pending.peerAddress = peerAddress;
 }
 
 void KnowledgeClient::advance(Base::TimePoint now)
 {
-    if (m_lane)
-        m_lane->checkTime(now);
-    for (auto &[what, question] : m_questions) {
-        if (m_lane && m_lane->isBusy())
+    if (m_client)
+        m_client->checkTime(now);
+    for (auto &[what, pending] : m_pendingCopies) {
+        if (m_client && m_client->isBusy())
             return;
-        if (question.isWanted && now >= question.nextAt)
-            ask(what, question, now);
+        if (pending.isRequested && now >= pending.earliestAt)
+            sendRequest(what, pending, now);
     }
 }
 
-void KnowledgeClient::ask(Knowledge what, Question &question, Base::TimePoint now)
+void KnowledgeClient::sendRequest(Knowledge what, PendingCopy &pending, Base::TimePoint now)
 {
-    question.isWanted = false;
-    question.nextAt = now + copyInterval;
-    if (!m_lane || m_laneAddress != question.peerAddress) {
-        const auto address = Settings::parseAddress(question.peerAddress);
+    pending.isRequested = false;
+    pending.earliestAt = now + copyInterval;
+    if (!m_client || m_clientAddress != pending.peerAddress) {
+        const auto address = Settings::parseAddress(pending.peerAddress);
         if (!address) {
-            failed(what, "address");
+            reportFailure(what, "address");
             return;
         }
-        m_lane = std::make_shared<HttpClient>(*m_io, *address);
-        m_laneAddress = question.peerAddress;
+        m_client = std::make_shared<HttpClient>(*m_io, *address);
+        m_clientAddress = pending.peerAddress;
     }
-    m_lane->call({"GET", copyPath(what), {}}, copyTimeout, now,
-                 [this, what, now](const std::optional<HttpAnswer> &answer) {
-                     answered(what, answer, now);
-                 });
+    m_client->call({"GET", copyPath(what), {}}, copyTimeout, now,
+                   [this, what, now](const std::optional<HttpAnswer> &answer) {
+                       answerReceived(what, answer, now);
+                   });
 }
 
-void KnowledgeClient::answered(Knowledge what, const std::optional<HttpAnswer> &answer,
-                               Base::TimePoint askedAt)
+void KnowledgeClient::answerReceived(Knowledge what, const std::optional<HttpAnswer> &answer,
+                                     Base::TimePoint askedAt)
 {
     if (!answer || answer->status != 200) {
-        failed(what, answer ? "refused" : "no answer");
+        reportFailure(what, answer ? "refused" : "no answer");
         return;
     }
     boost::leaf::try_handle_all(
@@ -82,14 +83,14 @@
             m_listener->serversCopied(report, askedAt);
             return {};
         },
-        [&] { failed(what, "malformed"); });
+        [&] { reportFailure(what, "malformed"); });
 }
 
-void KnowledgeClient::failed(Knowledge what, const char *why)
+void KnowledgeClient::reportFailure(Knowledge what, const char *why)
 {
     m_log->write(LogLine("copy.failed")
                      .add("what", copyPath(what) + 1)
-                     .add("host", m_laneAddress)
+                     .add("host", m_clientAddress)
                      .add("why", why),
                  bootTimeNow());
     m_listener->copyFailed(what);
--- a/src/libs/gateway/knowledgeclient.h
+++ b/src/libs/gateway/knowledgeclient.h
@@ -12,54 +12,57 @@
 
 class EventLog;
 
-/// Told what another host of the zone knows of the store.
+/// Receives the copies of store data that a StoreCopyClient fetches from another host.
 class KnowledgeListener
 {
 public:
     virtual ~KnowledgeListener() = default;
-    /// \a askedAt is when the other host was asked.
+    /// \a askedAt is when the request to the other host was sent.
     virtual void configurationCopied(const ConfigurationCopy &copy, Base::TimePoint askedAt) = 0;
     virtual void serversCopied(const HostReport &report, Base::TimePoint askedAt) = 0;
-    /// No answer came in time, or none that can be used: the store is to be asked.
+    /// No usable answer came in time; the data have to be read from the store instead.
     virtual void copyFailed(Knowledge what) = 0;
 };
 
-/// Takes the configuration and the list of backend servers from another host of the zone.
+/// Fetches copies of the configuration and of the list of backend servers from another host of the
+/// zone, over HTTP.
 ///
-/// Load: hundreds of hosts start, or learn of a new configuration, at the same moment. Each asking
-/// the store for itself makes calls in proportion to hosts, all are paid for, and a host that the
-/// store turns away goes without the new configuration although its neighbours have it. Asked of a
-/// neighbour they cost the store nothing: of 3,500 calls until six seconds after the beginning of a
-/// load on 195 hosts, 1,900 were readings of the configuration by each host.
+/// Hundreds of hosts may start, or learn of a new configuration, at the same moment. If each of
+/// them read the store, the number of calls, all of which cost money, would grow with the number of
+/// hosts, and a host that the store refuses would not get a configuration that its neighbours have.
+/// Copies from a neighbour put no load on the store: without them, 1,900 of the 3,500 store calls
+/// that 195 hosts made up to 6 s after the beginning of a load were readings of the configuration.
 class KnowledgeClient
 {
 public:
-    /// The arguments outlive the client.
+    /// The arguments must outlive the client.
     KnowledgeClient(boost::asio::io_context &io, KnowledgeListener &listener, EventLog &log);
 
-    /// Asks the host at \a peerAddress, soon. A question that is under way is not asked again.
+    /// Schedules a request for \a what to the host at \a peerAddress. Requests for the same data
+    /// are merged until advance() sends one.
     void want(Knowledge what, const std::string &peerAddress);
-    /// Does what is due. Call it every few ten milliseconds.
+    /// Sends the requests that are due. To be called every few tens of milliseconds.
     void advance(Base::TimePoint now);
 
 private:
-    struct Question
+    struct PendingCopy
     {
-        bool isWanted = false;
+        bool isRequested = false;
         std::string peerAddress;
-        Base::TimePoint nextAt{};
+        Base::TimePoint earliestAt{};
     };
 
-    void ask(Knowledge what, Question &question, Base::TimePoint now);
-    void answered(Knowledge what, const std::optional<HttpAnswer> &answer, Base::TimePoint askedAt);
-    void failed(Knowledge what, const char *why);
+    void sendRequest(Knowledge what, PendingCopy &pending, Base::TimePoint now);
+    void answerReceived(Knowledge what, const std::optional<HttpAnswer> &answer,
+                        Base::TimePoint askedAt);
+    void reportFailure(Knowledge what, const char *why);
 
     boost::asio::io_context *m_io;
     KnowledgeListener *m_listener;
     EventLog *m_log;
-    std::map<Knowledge, Question> m_questions;
-    std::shared_ptr<HttpClient> m_lane;
-    std::string m_laneAddress;
+    std::map<Knowledge, PendingCopy> m_pendingCopies;
+    std::shared_ptr<HttpClient> m_client;
+    std::string m_clientAddress;
 };
 
 } // namespace Gateway
