--- a/src/libs/gateway/httplistener.cpp
+++ b/src/libs/gateway/httplistener.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// Connections that wait to be accepted. A full queue costs a caller its opening packet, which
-/// comes again only after a second; at a cold start of the whole fleet hundreds come at once.
-constexpr int acceptQueue = 1024;
-/// Connections that are accepted in one turn. One a turn is too few on a host that is behind: its
-/// queue fills with connections of callers who have left by the time their turn comes, and nobody
-/// gets in for as long as the load lasts.
-constexpr int mostAcceptedInTurn = 128;
+/// Length of the queue of connections to accept. If it is full, a caller's SYN is dropped and
+/// retransmitted only after 1 s; at a cold start of the whole fleet hundreds arrive at once.
+constexpr int acceptBacklog = 1024;
+/// Connections that are accepted in one turn of the event loop. One a turn is too few on an
+/// overloaded host: its queue fills with connections of callers that have given up before they are
+/// accepted, and no caller is served for as long as the overload lasts.
+constexpr int maxAcceptsPerTurn = 128;
 
 } // namespace
 
@@ -38,7 +38,7 @@
     if (!ec)
         acceptor.bind(endpoint, ec);
     if (!ec)
-        acceptor.listen(acceptQueue, ec);
+        acceptor.listen(acceptBacklog, ec);
     if (!ec)
         acceptor.non_blocking(true, ec);
     if (ec)
@@ -58,11 +58,11 @@
     m_acceptor.async_wait(Tcp::acceptor::wait_read, [this](const boost::system::error_code &ec) {
         if (ec == boost::asio::error::operation_aborted)
             return;
-        for (int i = 0; i < mostAcceptedInTurn; ++i) {
+        for (int i = 0; i < maxAcceptsPerTurn; ++i) {
             if (!acceptOne())
                 break;
         }
-        if (!m_isOutOfFiles)
+        if (!m_isOutOfDescriptors)
             accept();
     });
 }
@@ -72,9 +72,9 @@
     const int fd =
         accept4(m_acceptor.native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
-        // The connection stays in the queue. To wait for it would return at once, again and again,
-        // and take the whole processor until a file number is free.
-        m_isOutOfFiles = errno == EMFILE || errno == ENFILE || errno == ENOMEM;
+        // The connection stays in the queue. Waiting for it would return at once, again and again,
+        // and use the whole processor until a file descriptor is free.
+        m_isOutOfDescriptors = errno == EMFILE || errno == ENFILE || errno == ENOMEM;
         return false;
     }
     auto connection = std::make_shared<CallerConnection>(*m_io, fd, m_context);
@@ -86,7 +86,7 @@
 
 void HttpListener::checkTime(Base::TimePoint now)
 {
-    if (std::exchange(m_isOutOfFiles, false))
+    if (std::exchange(m_isOutOfDescriptors, false))
         accept();
     for (const auto &connection : m_connections)
         connection->checkTime(now);
--- a/src/libs/gateway/httplistener.h
+++ b/src/libs/gateway/httplistener.h
@@ -10,22 +10,23 @@
 
 namespace Gateway {
 
-/// The address cannot be listened at.
+/// Error: the address cannot be listened on.
 struct CannotListen
 {
     std::string address;
 };
 
-/// Accepts callers' connections at one address.
+/// Accepts callers' connections on one address.
 class HttpListener
 {
 public:
-    /// Fails with CannotListen. The context's parts outlive the listener.
+    /// Fails with CannotListen. The objects that \a context refers to must outlive the listener.
     static Base::Result<std::unique_ptr<HttpListener>> create(boost::asio::io_context &io,
                                                               const Settings::Address &address,
                                                               const ConnectionContext &context);
 
-    /// Closes connections that are idle for too long. Call it a few times a second.
+    /// Closes connections whose timeout has passed, and accepts again if the process had run out of
+    /// file descriptors. To be called a few times a second.
     void checkTime(Base::TimePoint now);
     /// Closes the connections on which no request is open.
     void closeIdle();
@@ -34,14 +35,14 @@
 private:
     HttpListener(boost::asio::io_context &io, const ConnectionContext &context);
     void accept();
-    /// False if no connection waits, or the process has no file number left for it.
+    /// Returns false if no connection is pending, or if the process has no file descriptor left.
     bool acceptOne();
 
     boost::asio::io_context *m_io;
     Tcp::acceptor m_acceptor;
     ConnectionContext m_context;
-    /// Nothing is accepted until the next check of times.
-    bool m_isOutOfFiles = false;
+    /// Nothing is accepted until the next checkTime().
+    bool m_isOutOfDescriptors = false;
     std::vector<std::shared_ptr<CallerConnection>> m_connections;
 };
 
