--- a/src/libs/gateway/httptext.cpp
+++ b/src/libs/gateway/httptext.cpp
@@ -13,8 +13,7 @@
 
 using boost::beast::iequals;
 
-/// Fields that concern one connection only (RFC 9110, 7.6.1), and the body's length, which is
-/// told anew.
+/// Hop-by-hop fields (RFC 9110, 7.6.1), and the length of the body, which is set anew.
 constexpr std::array connectionFields = {
     Http::field::connection,
     Http::field::keep_alive,
@@ -35,7 +34,7 @@
            != connectionFields.end();
 }
 
-/// Names that the sender lists as its own connection's.
+/// Whether the sender lists \a name in its Connection field, that is, as a hop-by-hop field.
 bool isListedInConnection(const Http::fields &fields, std::string_view name)
 {
     const auto connection = fields.find(Http::field::connection);
@@ -55,8 +54,9 @@
                        [name](const std::string &it) { return iequals(name, it); });
 }
 
-/// Whether the field is replaced or dropped on the way to a server.
-bool isOurs(std::string_view name, const ForwardedFields &added, const HeaderNames &names)
+/// Whether the gateway replaces or removes the field on the way to a server.
+bool isReplacedOrDropped(std::string_view name, const ForwardedFields &added,
+                         const HeaderNames &names)
 {
     return iequals(name, names.timeLeft) || iequals(name, names.customer)
            || iequals(name, names.expectedServer) || isAnyOf(name, names.reserved)
@@ -64,7 +64,7 @@
            || (added.dropsKey && iequals(name, "authorization"));
 }
 
-/// Beast gives a string_view of its own kind.
+/// Converts Beast's own string_view type.
 std::string_view viewOf(boost::beast::string_view text)
 {
     return {text.data(), text.size()};
@@ -81,7 +81,7 @@
     text.append(viewOf(request.target())).append(" HTTP/1.1\r\n");
     for (const auto &it : request) {
         const std::string_view name = viewOf(it.name_string());
-        if (isConnectionField(it.name()) || isOurs(name, added, names)
+        if (isConnectionField(it.name()) || isReplacedOrDropped(name, added, names)
             || isListedInConnection(request, name))
             continue;
         append(text, name, viewOf(it.value()));
--- a/src/libs/gateway/httptext.h
+++ b/src/libs/gateway/httptext.h
@@ -18,38 +18,41 @@
 using Request = Http::request<Http::string_body>;
 using ResponseHead = Http::response_header<>;
 
-/// What is added to a caller's request when it goes to a server.
+/// Fields that are added to a caller's request, or replaced in it, when it is sent to a server.
 struct ForwardedFields
 {
     std::int64_t timeLeftMs = 0;
     std::string customer;
     std::string expectedServer;
-    /// "IP:PORT"; empty if the server reads the whole prompt itself.
+    /// "IP:PORT" of the server to fetch the beginning of the prompt from; empty if the server
+    /// processes the whole prompt itself.
     std::string fetchFrom;
-    /// Replaces the caller's own; empty leaves it as it is.
+    /// Replaces the caller's value; if empty, the caller's value is kept.
     std::string lastEventId;
-    /// Whether the caller's key must not reach the server.
+    /// Whether the Authorization field, which holds the caller's key, is removed.
     bool dropsKey = true;
 };
 
-/// The text of \a request as it is sent to a server: method, target and body unchanged, without
-/// fields that concern one connection only, and with the length of the body told anew, so that no
-/// second request can hide in it.
+/// Serializes \a request for a server. Method, target and body are unchanged, hop-by-hop fields are
+/// removed, and the length of the body is set anew, which prevents request smuggling.
 std::string forwardedText(const Request &request, const ForwardedFields &added,
                           const HeaderNames &names);
 
+/// How the end of a body is marked.
 enum class BodyFraming { Length, Chunked };
 
-/// Head of an answer to a caller, made of a server's \a head. \a length is left out where chunked.
+/// Serializes the head of an answer to a caller from a server's \a head, without hop-by-hop fields.
+/// \a length is ignored for a chunked body. \a closes adds "Connection: close".
 std::string answerHeadText(const ResponseHead &head, BodyFraming framing, std::size_t length,
                            bool closes);
 
-/// One chunk of a chunked body.
+/// Encodes \a data as one chunk of a chunked body.
 std::string chunkText(std::string_view data);
 inline constexpr std::string_view lastChunkText = "0\r\n\r\n";
 
+/// Value of the field \a name; empty if there is no such field or \a name is empty.
 std::string_view field(const Http::fields &fields, const std::string &name);
-/// A whole number without sign; empty for any other text.
+/// Parses an unsigned whole number; empty if \a text is anything else.
 std::optional<std::uint64_t> parseNumber(std::string_view text, int base = 10);
 
 } // namespace Gateway
