--- a/src/libs/gateway/headernames.h
+++ b/src/libs/gateway/headernames.h
@@ -5,31 +5,32 @@
 
 namespace Gateway {
 
-/// How a deployment spells the header fields that the gateway reads and sets. An empty name
-/// stands for a field that the deployment does not have.
+/// A deployment's names of the header fields that the gateway reads and sets. An empty name stands
+/// for a field that the deployment does not have.
 struct HeaderNames
 {
-    /// Of a request and of its answer: the caller's name for this attempt.
+    /// In a request and its answer: the caller's id of this attempt.
     std::string requestId;
-    /// Of an answer: the server's proof that the answer is its own.
+    /// In an answer: the server's signature, which shows that the answer is its own.
     std::string signature;
-    /// Milliseconds that the caller will wait, or that a server is given.
+    /// In a request: the milliseconds left until its deadline.
     std::string timeLeft;
-    /// Set by us: the customer whose key the request carried.
+    /// Set by the gateway: the customer to whom the key of the request belongs.
     std::string customer;
-    /// Set by us: only the server with this id may run the request.
+    /// Set by the gateway: id of the only server that may run the request.
     std::string expectedServer;
-    /// Set by us: the address of the server from which the prompt's kept beginning is fetched.
+    /// Set by the gateway: address of the server from whose cache the beginning of the prompt is
+    /// fetched.
     std::string fetchFrom;
-    /// Tokens of the prompt and most tokens to generate: "IN,OUT".
+    /// Number of tokens of the prompt and maximum number of tokens to generate: "IN,OUT".
     std::string tokenCounts;
-    /// Parts of the prompt in order: "HEX:TOKENS,HEX:TOKENS".
+    /// Hash and number of tokens of each part of the prompt, in order: "HEX:TOKENS,HEX:TOKENS".
     std::string promptParts;
-    /// Last event that the caller has of a stream that is gone on with.
+    /// Id of the last event that the caller has received, in a request that resumes a stream.
     std::string lastEventId;
-    /// Of an answer: the server did not run the request.
+    /// In an answer: the server did not run the request.
     std::string notRun;
-    /// What only we may set; dropped from what callers send.
+    /// Fields that only the gateway may set; they are removed from callers' requests.
     std::vector<std::string> reserved;
 };
 
