--- a/src/libs/gateway/eventlog.cpp
+++ b/src/libs/gateway/eventlog.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Lines that wait for a reader; about a thousand.
-constexpr std::size_t mostBuffered = 256U << 10;
-/// Failures have an allowance of this many times as many lines besides: they are what somebody will
-/// ask about.
+/// Size of the buffer in bytes, about 1000 lines.
+constexpr std::size_t maxBufferedBytes = 256U << 10;
+/// Failed requests may use this many times the line limit in addition, since they are the ones that
+/// operators look up.
 constexpr unsigned failureFactor = 2;
 
 void appendEscaped(std::string &text, std::string_view value)
@@ -34,8 +34,8 @@
     }
 }
 
-/// Time of day with milliseconds, for people who compare hosts.
-std::int64_t wallMilliseconds()
+/// Wall-clock time in milliseconds since the epoch, to compare the logs of several hosts.
+std::int64_t wallClockMilliseconds()
 {
     return std::chrono::duration_cast<Base::Milliseconds>(
                std::chrono::system_clock::now().time_since_epoch())
@@ -46,7 +46,7 @@
 
 LogLine::LogLine(std::string_view event)
 {
-    m_text = "{\"atMs\":" + std::to_string(wallMilliseconds());
+    m_text = "{\"atMs\":" + std::to_string(wallClockMilliseconds());
     add("event", event);
 }
 
@@ -114,20 +114,20 @@
 void EventLog::append(const LogLine &line, Base::TimePoint)
 {
     const std::string text = line.text();
-    if (m_buffer.size() + text.size() > mostBuffered) {
+    if (m_buffer.size() + text.size() > maxBufferedBytes) {
         ++m_dropped;
         return;
     }
-    noteDropped();
+    reportDropped();
     m_buffer.append(text);
 }
 
-void EventLog::noteDropped()
+void EventLog::reportDropped()
 {
-    if (m_dropped == m_droppedTold)
+    if (m_dropped == m_reportedDropped)
         return;
-    m_buffer.append(LogLine("log.dropped").add("lines", m_dropped - m_droppedTold).text());
-    m_droppedTold = m_dropped;
+    m_buffer.append(LogLine("log.dropped").add("lines", m_dropped - m_reportedDropped).text());
+    m_reportedDropped = m_dropped;
 }
 
 void EventLog::flush()
@@ -135,7 +135,8 @@
     if (m_buffer.empty())
         return;
     const ssize_t n = ::write(m_descriptor, m_buffer.data(), m_buffer.size());
-    // Nobody reads at the moment, or ever again: the buffer keeps the newest lines that fit.
+    // If the reader is stopped, the buffered lines are kept, and new ones are dropped once it is
+    // full.
     if (n > 0)
         m_buffer.erase(0, static_cast<std::size_t>(n));
 }
--- a/src/libs/gateway/eventlog.h
+++ b/src/libs/gateway/eventlog.h
@@ -9,7 +9,7 @@
 
 namespace Gateway {
 
-/// One structured line of the log: a JSON object.
+/// Builds one structured line of the log: a JSON object with the time, the event and its fields.
 class LogLine
 {
 public:
@@ -28,7 +28,7 @@
     {
         return addRaw(name, std::to_string(value));
     }
-    /// In milliseconds.
+    /// Adds \a value in milliseconds.
     LogLine &add(std::string_view name, Base::Duration value);
 
     std::string text() const { return m_text + "}\n"; }
@@ -39,39 +39,41 @@
     std::string m_text;
 };
 
-/// The process's log on standard output, as JSON lines.
+/// The process's log of JSON lines on a file descriptor.
 ///
-/// Writing never waits. Lines go into a bounded buffer and from there to standard output as far as
-/// that takes them at once; when a reader has stopped, lines are dropped and counted, and requests
-/// are served on. Whole requests are left out past a number of lines a second.
+/// Writing never blocks. Lines go into a bounded buffer and from there to the descriptor as far as
+/// it accepts them at once. While the reader is stopped, lines are dropped and counted, and
+/// requests are still served. Lines about requests are limited to a number a second.
 class EventLog
 {
 public:
-    /// \a requestLinesPerSecond of requests, and twice as many of failures besides. A host of a
-    /// quarter core serves about fifty requests a second on an ordinary day.
+    /// \a requestLinesPerSecond limits the lines about requests; failed requests have twice as many
+    /// in addition. A host with a quarter of a core serves about 50 requests a second on an
+    /// ordinary day.
     EventLog(int descriptor, unsigned requestLinesPerSecond);
 
     void setRequestLines(unsigned perSecond) { m_requestLinesPerSecond = perSecond; }
-    /// Always kept while the buffer has room: what changes what the process believes.
+    /// Writes a line, without a limit a second; it is dropped only if the buffer is full. For
+    /// events that change the state of the process.
     void write(const LogLine &line, Base::TimePoint now);
-    /// Takes a line of a request off its allowance; \a isFailure has a larger one. False if there
-    /// is none left: the line is counted as dropped and need not be made, which would cost about
-    /// a tenth of a refused request.
+    /// Counts one line about a request against the limit a second, which is larger for failures.
+    /// Returns false if the limit is reached; the line then counts as dropped and need not be
+    /// built, which would take about a tenth of the processor time of a refused request.
     bool takesRequest(bool isFailure, Base::TimePoint now);
-    /// Passes on what the reader takes; call it often.
+    /// Writes as much of the buffer as the descriptor accepts. To be called often.
     void flush();
 
     std::uint64_t dropped() const { return m_dropped; }
 
 private:
     void append(const LogLine &line, Base::TimePoint now);
-    void noteDropped();
+    void reportDropped();
 
     int m_descriptor;
     unsigned m_requestLinesPerSecond;
     std::string m_buffer;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_droppedTold = 0;
+    std::uint64_t m_reportedDropped = 0;
     Base::TimePoint m_second;
     unsigned m_linesThisSecond = 0;
 };
