--- a/src/libs/gateway/eventsplitter.cpp
+++ b/src/libs/gateway/eventsplitter.cpp
@@ -9,19 +9,20 @@
 
 constexpr std::string_view idField = "id:";
 
-/// End of the first event in \a text, or npos: an empty line, with either kind of line end.
+/// Returns the position after the first event in \a text, which ends with an empty line of either
+/// kind of line end; npos if no event is complete.
 std::size_t endOfEvent(std::string_view text)
 {
-    const std::size_t bare = text.find("\n\n");
-    const std::size_t full = text.find("\r\n\r\n");
-    if (bare == std::string_view::npos && full == std::string_view::npos)
+    const std::size_t lfSeparator = text.find("\n\n");
+    const std::size_t crlfSeparator = text.find("\r\n\r\n");
+    if (lfSeparator == std::string_view::npos && crlfSeparator == std::string_view::npos)
         return std::string_view::npos;
-    if (full < bare)
-        return full + 4;
-    return bare + 2;
+    if (crlfSeparator < lfSeparator)
+        return crlfSeparator + 4;
+    return lfSeparator + 2;
 }
 
-std::optional<std::uint64_t> idOf(std::string_view event)
+std::optional<std::uint64_t> eventId(std::string_view event)
 {
     std::size_t at = 0;
     while (at < event.size()) {
@@ -45,27 +46,27 @@
 
 WholeEvents EventSplitter::push(std::string_view data)
 {
-    WholeEvents whole;
-    m_rest.append(data);
-    std::string_view left = m_rest;
-    for (std::size_t end = endOfEvent(left); end != std::string_view::npos;
-         end = endOfEvent(left)) {
-        take(left.substr(0, end), whole);
-        left.remove_prefix(end);
+    WholeEvents complete;
+    m_partialEvent.append(data);
+    std::string_view remaining = m_partialEvent;
+    for (std::size_t end = endOfEvent(remaining); end != std::string_view::npos;
+         end = endOfEvent(remaining)) {
+        appendEvent(remaining.substr(0, end), complete);
+        remaining.remove_prefix(end);
     }
-    m_rest.erase(0, m_rest.size() - left.size());
-    return whole;
+    m_partialEvent.erase(0, m_partialEvent.size() - remaining.size());
+    return complete;
 }
 
-void EventSplitter::take(std::string_view event, WholeEvents &whole)
+void EventSplitter::appendEvent(std::string_view event, WholeEvents &complete)
 {
-    const std::optional<std::uint64_t> id = idOf(event);
+    const std::optional<std::uint64_t> id = eventId(event);
     if (id && m_lastId && *id <= *m_lastId)
         return;
     if (id)
         m_lastId = id;
-    whole.text.append(event);
-    ++whole.count;
+    complete.text.append(event);
+    ++complete.count;
 }
 
 } // namespace Gateway
--- a/src/libs/gateway/eventsplitter.h
+++ b/src/libs/gateway/eventsplitter.h
@@ -7,37 +7,38 @@
 
 namespace Gateway {
 
-/// Whole events taken out of a stream's bytes.
+/// The complete events found in a stream's bytes.
 struct WholeEvents
 {
     std::string text;
     std::size_t count = 0;
 };
 
-/// Cuts the bytes of a text/event-stream at the ends of events.
+/// Splits the bytes of a text/event-stream into events.
 ///
-/// A server that crashes may stop in the middle of an event. Only whole events are passed on, so
-/// that another server can go on right after the last one that the caller has. Events that the
-/// caller already has (an id that is not larger) are left out.
+/// A server that crashes may stop in the middle of an event. Only complete events are forwarded, so
+/// that another server can resume right after the last event that the caller has received. Events
+/// that the caller has already received, whose id is not larger than the last one, are left out.
 class EventSplitter
 {
 public:
-    /// \a lastId is the last event that the caller has, if it goes on with a stream.
+    /// \a lastId is the id of the last event that the caller has received, if it resumes a stream.
     explicit EventSplitter(std::optional<std::uint64_t> lastId = std::nullopt)
         : m_lastId(lastId)
     {}
 
+    /// Adds \a data and returns the events that it completes.
     WholeEvents push(std::string_view data);
-    /// Forgets a half event: another server begins with the next whole one.
-    void restart() { m_rest.clear(); }
+    /// Discards an incomplete event, since another server starts with a complete one.
+    void restart() { m_partialEvent.clear(); }
 
     std::optional<std::uint64_t> lastId() const { return m_lastId; }
-    bool hasRest() const { return !m_rest.empty(); }
+    bool hasRest() const { return !m_partialEvent.empty(); }
 
 private:
-    void take(std::string_view event, WholeEvents &whole);
+    void appendEvent(std::string_view event, WholeEvents &complete);
 
-    std::string m_rest;
+    std::string m_partialEvent;
     std::optional<std::uint64_t> m_lastId;
 };
 
