--- a/src/libs/gateway/gatewaymetrics.cpp
+++ b/src/libs/gateway/gatewaymetrics.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/// Around the start targets of today's classes, 0.15 to 2 s, and their timeouts, 0.8 to 15 s.
-const std::vector<double> timeBounds{0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8,
-                                     1.2,  1.5,   2,    3,   5,    8,    12,  15};
+/// Upper bounds of the histograms' buckets. They cover the start targets of routes, 0.15 to 2 s,
+/// and their timeouts, 0.8 to 15 s.
+const std::vector<double> timeBucketsInSeconds{0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 0.8,
+                                               1.2,  1.5,   2,    3,   5,    8,    12,  15};
 
 double seconds(Base::Duration duration)
 {
@@ -37,33 +38,34 @@
                       m_registry.counters({"lagoonmast_gateway_failed_attempts_total",
                                            "Attempts at backend servers that failed",
                                            {"outcome"}}));
-    BOOST_LEAF_ASSIGN(m_repeats, m_registry.counters({"lagoonmast_gateway_repeats_total",
+    BOOST_LEAF_ASSIGN(m_retries, m_registry.counters({"lagoonmast_gateway_repeats_total",
                                                       "Repeats asked of the retry share",
                                                       {"granted"}}));
     BOOST_LEAF_ASSIGN(m_storeCalls, m_registry.counters({"lagoonmast_gateway_store_calls_total",
                                                          "Calls of the platform's store",
                                                          {"call", "result"}}));
-    BOOST_LEAF_ASSIGN(m_first, m_registry.histograms({"lagoonmast_gateway_first_seconds",
-                                                      "To the first event, or to a whole answer",
-                                                      {"route"}},
-                                                     timeBounds));
-    BOOST_LEAF_ASSIGN(
-        m_whole, m_registry.histograms(
-                     {"lagoonmast_gateway_whole_seconds", "To the end of the answer", {"route"}},
-                     timeBounds));
+    BOOST_LEAF_ASSIGN(m_firstEventTime,
+                      m_registry.histograms({"lagoonmast_gateway_first_seconds",
+                                             "To the first event, or to a whole answer",
+                                             {"route"}},
+                                            timeBucketsInSeconds));
+    BOOST_LEAF_ASSIGN(m_answerTime, m_registry.histograms({"lagoonmast_gateway_whole_seconds",
+                                                           "To the end of the answer",
+                                                           {"route"}},
+                                                          timeBucketsInSeconds));
     BOOST_LEAF_ASSIGN(m_openRequests, gauge("lagoonmast_gateway_open_requests", "Open requests"));
     BOOST_LEAF_ASSIGN(m_waitingWork,
                       gauge("lagoonmast_gateway_waiting", "Requests that wait for a server"));
     BOOST_LEAF_ASSIGN(m_liveHosts, gauge("lagoonmast_gateway_live_hosts", "Live gateway hosts"));
     BOOST_LEAF_ASSIGN(m_servers, gauge("lagoonmast_gateway_servers", "Usable backend servers"));
-    BOOST_LEAF_ASSIGN(m_version, gauge("lagoonmast_gateway_configuration_version",
-                                       "Version of the configuration in force"));
-    BOOST_LEAF_ASSIGN(m_proofAge,
+    BOOST_LEAF_ASSIGN(m_configurationVersion, gauge("lagoonmast_gateway_configuration_version",
+                                                    "Version of the configuration in force"));
+    BOOST_LEAF_ASSIGN(m_configurationAge,
                       gauge("lagoonmast_gateway_configuration_age_seconds",
                             "Since the configuration was proved current; -1 if it never was"));
     BOOST_LEAF_ASSIGN(m_ready, gauge("lagoonmast_gateway_ready", "1 if this host takes requests"));
-    BOOST_LEAF_ASSIGN(m_reader, gauge("lagoonmast_gateway_store_reader",
-                                      "1 if this host reads the store for others"));
+    BOOST_LEAF_ASSIGN(m_storeReader, gauge("lagoonmast_gateway_store_reader",
+                                           "1 if this host reads the store for others"));
     BOOST_LEAF_ASSIGN(m_droppedLines, gauge("lagoonmast_gateway_log_lines_dropped",
                                             "Log lines dropped since the start"));
     BOOST_LEAF_ASSIGN(m_unreadableEntries, gauge("lagoonmast_gateway_unreadable_entries",
@@ -87,8 +89,8 @@
     m_requests->with({request.route, request.outcome}).increment();
     m_customerRequests->with({request.customer, request.outcome}).increment();
     if (request.first)
-        m_first->with({request.route}).observe(seconds(*request.first));
-    m_whole->with({request.route}).observe(seconds(request.whole));
+        m_firstEventTime->with({request.route}).observe(seconds(*request.first));
+    m_answerTime->with({request.route}).observe(seconds(request.whole));
 }
 
 void GatewayMetrics::attemptFailed(const std::string &outcome)
@@ -98,7 +100,7 @@
 
 void GatewayMetrics::repeatAsked(bool isGranted)
 {
-    m_repeats->with({isGranted ? "yes" : "no"}).increment();
+    m_retries->with({isGranted ? "yes" : "no"}).increment();
 }
 
 void GatewayMetrics::storeAnswered(const std::string &call, bool isGood)
@@ -112,10 +114,10 @@
     m_waitingWork->set(static_cast<double>(state.waitingWork));
     m_liveHosts->set(static_cast<double>(state.liveHosts));
     m_servers->set(static_cast<double>(state.servers));
-    m_version->set(static_cast<double>(state.configurationVersion));
-    m_proofAge->set(state.proofAge ? seconds(*state.proofAge) : -1);
+    m_configurationVersion->set(static_cast<double>(state.configurationVersion));
+    m_configurationAge->set(state.proofAge ? seconds(*state.proofAge) : -1);
     m_ready->set(state.isReady ? 1 : 0);
-    m_reader->set(state.isStoreReader ? 1 : 0);
+    m_storeReader->set(state.isStoreReader ? 1 : 0);
     m_droppedLines->set(static_cast<double>(state.droppedLogLines));
     m_unreadableEntries->set(static_cast<double>(state.unreadableEntries));
     m_costFactor->set(state.costFactor);
--- a/src/libs/gateway/gatewaymetrics.h
+++ b/src/libs/gateway/gatewaymetrics.h
@@ -11,18 +11,20 @@
 
 namespace Gateway {
 
-/// A request that got its final answer, or whose caller left.
+/// A request that got its final answer, or whose caller closed the connection.
 struct EndedRequest
 {
     std::string route;
     std::string customer;
     std::string outcome;
-    /// From the first byte read to the first event or the whole answer; empty if there was none.
+    /// Time from the first byte read to the first event or the complete answer; empty if there was
+    /// none.
     std::optional<Base::Duration> first;
+    /// Time from the first byte read to the end of the request.
     Base::Duration whole{};
 };
 
-/// How the gateway stands at a moment.
+/// Values of the gateway's gauges at one moment.
 struct GatewayState
 {
     std::size_t openRequests = 0;
@@ -30,30 +32,32 @@
     std::size_t liveHosts = 1;
     std::size_t servers = 0;
     std::uint64_t configurationVersion = 0;
+    /// Time since the configuration was confirmed to be current; empty if it never was.
     std::optional<Base::Duration> proofAge;
     bool isReady = false;
     bool isStoreReader = false;
     std::uint64_t droppedLogLines = 0;
-    /// Entries of servers in the store that this host could not read at its last reading.
+    /// Entries of servers in the store that this host could not parse at its last reading.
     std::size_t unreadableEntries = 0;
     double costFactor = 1;
-    /// Since the start, with work left to do.
+    /// Time since the start of the process during which work was left to do.
     Base::Duration busyTime{};
 };
 
-/// Counters, histograms and gauges of one gateway. docs/OPERATIONS.md lists them.
+/// Counters, histograms and gauges of one gateway process.
 class GatewayMetrics
 {
 public:
-    /// Fails as the registry does.
+    /// Registers all metrics. Fails with the registry's errors.
     static Base::Result<std::unique_ptr<GatewayMetrics>> create();
 
     void requestEnded(const EndedRequest &request);
     void attemptFailed(const std::string &outcome);
     void repeatAsked(bool isGranted);
     void storeAnswered(const std::string &call, bool isGood);
+    /// Sets the gauges to the values of \a state.
     void show(const GatewayState &state);
-    /// In Prometheus's text exposition format.
+    /// Returns all metrics in Prometheus's text exposition format.
     std::string text() { return m_registry.text(); }
 
 private:
@@ -65,18 +69,18 @@
     Metrics::Family<Metrics::Counter> *m_requests = nullptr;
     Metrics::Family<Metrics::Counter> *m_customerRequests = nullptr;
     Metrics::Family<Metrics::Counter> *m_failedAttempts = nullptr;
-    Metrics::Family<Metrics::Counter> *m_repeats = nullptr;
+    Metrics::Family<Metrics::Counter> *m_retries = nullptr;
     Metrics::Family<Metrics::Counter> *m_storeCalls = nullptr;
-    Metrics::Family<Metrics::Histogram> *m_first = nullptr;
-    Metrics::Family<Metrics::Histogram> *m_whole = nullptr;
+    Metrics::Family<Metrics::Histogram> *m_firstEventTime = nullptr;
+    Metrics::Family<Metrics::Histogram> *m_answerTime = nullptr;
     Metrics::Gauge *m_openRequests = nullptr;
     Metrics::Gauge *m_waitingWork = nullptr;
     Metrics::Gauge *m_liveHosts = nullptr;
     Metrics::Gauge *m_servers = nullptr;
-    Metrics::Gauge *m_version = nullptr;
-    Metrics::Gauge *m_proofAge = nullptr;
+    Metrics::Gauge *m_configurationVersion = nullptr;
+    Metrics::Gauge *m_configurationAge = nullptr;
     Metrics::Gauge *m_ready = nullptr;
-    Metrics::Gauge *m_reader = nullptr;
+    Metrics::Gauge *m_storeReader = nullptr;
     Metrics::Gauge *m_droppedLines = nullptr;
     Metrics::Gauge *m_unreadableEntries = nullptr;
     Metrics::Gauge *m_costFactor = nullptr;
