--- a/src/libs/gateway/gatewaysettings.cpp
+++ b/src/libs/gateway/gatewaysettings.cpp
@@ -11,17 +11,18 @@
 using Settings::Internal::Json;
 using Settings::Internal::ObjectReader;
 
-/// The member that a settings file for a gateway has, and one for a router does not.
+/// Member that only the settings of a gateway have, not those of a router.
 constexpr const char *storeAddressKey = "storeAddress";
 
-constexpr double longestSeconds = 3600;
-constexpr double longestMilliseconds = 3600.0 * 1000;
-/// Reports and a slow answer of the store take longer than a shorter bound.
-constexpr double shortestBoundMs = 1000;
-constexpr double largestRatio = 1;
-constexpr double mostCores = 1024;
-constexpr double largestSlack = 1e6;
-constexpr std::int64_t mostRequestLines = 100'000;
+constexpr double maxSeconds = 3600;
+constexpr double maxMilliseconds = 3600.0 * 1000;
+/// Lower limit of a bound: reports between hosts and a slow answer of the store take longer than
+/// any shorter one.
+constexpr double minBoundMs = 1000;
+constexpr double maxRetryRatio = 1;
+constexpr double maxCores = 1024;
+constexpr double maxRetrySlack = 1e6;
+constexpr std::int64_t maxRequestLines = 100'000;
 
 Base::Milliseconds millisecondsOf(double value)
 {
@@ -30,25 +31,25 @@
 
 void readBounds(ObjectReader &reader, GatewaySettings &settings)
 {
-    const double maxAge = reader.number("entryListMaxAgeS", 1, longestSeconds,
+    const double maxAge = reader.number("entryListMaxAgeS", 1, maxSeconds,
                                         static_cast<double>(settings.entryListMaxAge.count()));
     settings.entryListMaxAge = std::chrono::seconds(std::llround(maxAge));
     settings.shutdownGrace =
         millisecondsOf(1000
-                       * reader.number("shutdownGraceS", 1, longestSeconds,
+                       * reader.number("shutdownGraceS", 1, maxSeconds,
                                        static_cast<double>(settings.shutdownGrace.count()) / 1000));
     settings.keyRevocation =
-        millisecondsOf(reader.number("keyRevocationMs", 1000, longestMilliseconds,
+        millisecondsOf(reader.number("keyRevocationMs", 1000, maxMilliseconds,
                                      static_cast<double>(settings.keyRevocation.count())));
     settings.configurationBound =
-        millisecondsOf(reader.number("configurationMs", shortestBoundMs, longestMilliseconds,
+        millisecondsOf(reader.number("configurationMs", minBoundMs, maxMilliseconds,
                                      static_cast<double>(settings.configurationBound.count())));
     settings.leavingBound =
-        millisecondsOf(reader.number("leavingMs", shortestBoundMs, longestMilliseconds,
+        millisecondsOf(reader.number("leavingMs", minBoundMs, maxMilliseconds,
                                      static_cast<double>(settings.leavingBound.count())));
-    settings.retries.ratio = reader.number("retryRatio", 0, largestRatio, settings.retries.ratio);
-    settings.retries.slack = reader.number("retrySlack", 0, largestSlack, settings.retries.slack);
-    const double window = reader.number("retryWindowS", 1, longestSeconds, 10);
+    settings.retries.ratio = reader.number("retryRatio", 0, maxRetryRatio, settings.retries.ratio);
+    settings.retries.slack = reader.number("retrySlack", 0, maxRetrySlack, settings.retries.slack);
+    const double window = reader.number("retryWindowS", 1, maxSeconds, 10);
     settings.retries.window = millisecondsOf(window * 1000);
 }
 
@@ -91,7 +92,7 @@
     settings.storeAddress = reader.address(storeAddressKey);
     if (reader.optional("metricsAddress"))
         settings.metricsAddress = reader.address("metricsAddress");
-    const double cores = reader.number("processorCores", 0, mostCores, 1);
+    const double cores = reader.number("processorCores", 0, maxCores, 1);
     const double share = reader.number("processorShare", 0, 1, 1);
     settings.processor = static_cast<Routing::MilliCores>(std::llround(1000 * cores * share));
     readSeeds(reader, settings.seeds);
@@ -103,7 +104,7 @@
     if (const Json *log = reader.optional("log")) {
         ObjectReader inner(*log, reader.pointerTo("log"), faults);
         settings.requestLinesPerSecond = static_cast<unsigned>(inner.integer(
-            "requestLinesPerSecond", 0, mostRequestLines, settings.requestLinesPerSecond));
+            "requestLinesPerSecond", 0, maxRequestLines, settings.requestLinesPerSecond));
         inner.finish();
     }
     reader.finish();
--- a/src/libs/gateway/gatewaysettings.h
+++ b/src/libs/gateway/gatewaysettings.h
@@ -15,7 +15,7 @@
 
 namespace Gateway {
 
-/// What one gateway process is started with: its place, its addresses, the bounds it keeps.
+/// Settings of one gateway process: its identity, its addresses and its limits.
 struct GatewaySettings
 {
     Base::HostId host;
@@ -24,36 +24,37 @@
     Settings::Address callerAddress;
     Settings::Address readinessAddress;
     Settings::Address discoveryAddress;
-    /// UDP, for load reports between hosts.
+    /// Address for other hosts: load reports over UDP, and copies of store data over HTTP.
     Settings::Address peerAddress;
     Settings::Address storeAddress;
-    /// Where metrics are served, at /metrics; none if empty.
+    /// Address at which /metrics is served; empty to serve no metrics.
     std::optional<Settings::Address> metricsAddress;
-    /// What this process may use of the host's processor.
+    /// Share of the host's processor that this process may use.
     Routing::MilliCores processor = 1000;
-    /// Hosts that may run as well; only their IP numbers count.
+    /// IP addresses of other hosts that may be running, to contact at startup.
     std::vector<std::string> seeds;
-    /// How long callers may keep an entry list.
+    /// How long callers may cache the list of entry hosts, that is, the hosts to connect to.
     std::chrono::seconds entryListMaxAge{2};
-    /// From SIGTERM to the end of the process.
+    /// Time from SIGTERM to the exit of the process.
     Base::Milliseconds shutdownGrace{8000};
-    /// A key that was taken away is not used later than this.
+    /// Time within which a revoked key stops being accepted.
     Base::Milliseconds keyRevocation{5000};
-    /// A change of the configuration is in force within this time.
+    /// Time within which a change of the configuration comes into force.
     Base::Milliseconds configurationBound{2000};
-    /// A server that says that it leaves gets nothing new later than this.
+    /// Time within which a server that announces that it leaves gets no new requests.
     Base::Milliseconds leavingBound{2000};
     Routing::RetryAllowance retries;
-    /// Lines of requests in the log, a second; failures have twice as many besides. 0 for none.
+    /// Limit of log lines about requests a second; failures have twice as many in addition. 0 turns
+    /// these lines off.
     unsigned requestLinesPerSecond = 150;
 
-    /// Where these settings stand; empty if they may not change while the process runs.
+    /// Path of the settings file; empty if the settings cannot change while the process runs.
     std::string file;
 
-    /// Reads a settings file's \a text. Fails with Settings::SettingsFaults, which has every fault
-    /// of the text. Any bytes are safe.
+    /// Parses the \a text of a settings file, which may be arbitrary bytes. Fails with
+    /// Settings::SettingsFaults, which lists every fault of the text.
     static Base::Result<GatewaySettings> parse(std::string_view text);
-    /// Whether \a text is meant for a gateway, and not for a router with a platform of its own.
+    /// Whether \a text holds settings of a gateway, and not of a router.
     static bool isGatewayText(std::string_view text);
 };
 
