--- a/src/libs/gateway/promptfields.h
+++ b/src/libs/gateway/promptfields.h
@@ -8,16 +8,18 @@
 
 namespace Gateway {
 
+/// Token counts that a request states.
 struct TokenCounts
 {
     std::uint32_t prompt = 0;
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     std::uint32_t output = 0;
 };
 
-/// Reads "IN,OUT"; zeros for any other text: the request is then placed as one without a prompt.
+/// Parses "IN,OUT". Returns zeros for any other text; the request is then placed like one without a
+/// prompt.
 TokenCounts parseTokenCounts(std::string_view text);
-/// Reads "HEX:TOKENS,HEX:TOKENS"; stops at the first part that is malformed.
+/// Parses "HEX:TOKENS,HEX:TOKENS". Stops at the first malformed part, or after 64 parts.
 std::vector<Routing::PromptPart> parsePromptParts(std::string_view text);
 
 } // namespace Gateway
--- a/src/libs/gateway/reportsocket.cpp
+++ b/src/libs/gateway/reportsocket.cpp
@@ -46,7 +46,7 @@
             continue;
         boost::system::error_code ec;
         const auto ip = boost::asio::ip::make_address_v4(address->ip, ec);
-        // A report that is not sent is made good by the next one.
+        // A report that could not be sent is superseded by the next one.
         if (!ec)
             m_socket.send_to(boost::asio::buffer(bytes), udp::endpoint(ip, address->port), 0, ec);
     }
--- a/src/libs/gateway/reportsocket.h
+++ b/src/libs/gateway/reportsocket.h
@@ -14,17 +14,20 @@
 
 namespace Gateway {
 
-/// Sends and receives reports as datagrams.
+/// Sends and receives host reports as UDP datagrams.
 class ReportSocket
 {
 public:
     using Received = std::function<void(const HostReport &)>;
 
-    /// Fails with CannotListen. Datagrams that are no reports are counted and left out.
+    /// Binds to \a address and calls \a received for each report. Datagrams that are no reports are
+    /// counted and ignored. Fails with CannotListen.
     static Base::Result<std::unique_ptr<ReportSocket>>
     create(boost::asio::io_context &io, const Settings::Address &address, Received received);
 
+    /// Sends \a report to each address of \a receivers, without delivery guarantee.
     void send(const HostReport &report, const std::vector<std::string> &receivers);
+    /// Number of received datagrams that are no reports.
     std::uint64_t malformed() const { return m_malformed; }
 
 private:
--- a/src/libs/gateway/settingswatcher.cpp
+++ b/src/libs/gateway/settingswatcher.cpp
@@ -21,7 +21,7 @@
         return std::nullopt;
     std::error_code ec;
     const auto writtenAt = std::filesystem::last_write_time(m_file, ec);
-    // A file that is being replaced may be missing for a moment; the next look finds it.
+    // A file that is being replaced may be missing for a moment; the next call finds it.
     if (ec || writtenAt == m_writtenAt)
         return std::nullopt;
     m_writtenAt = writtenAt;
--- a/src/libs/gateway/settingswatcher.h
+++ b/src/libs/gateway/settingswatcher.h
@@ -9,14 +9,15 @@
 
 namespace Gateway {
 
-/// Looks whether the settings file has changed since the last look.
+/// Detects changes of the settings file by its modification time.
 class SettingsWatcher
 {
 public:
-    /// \a file may be empty: it never changes then.
+    /// \a file may be empty; no change is ever reported then.
     explicit SettingsWatcher(std::string file);
 
-    /// The settings, if the file has changed; empty if not. Fails with Settings::SettingsFaults.
+    /// Returns the settings if the file has changed since the last call or the construction, else
+    /// an empty value. Fails with Settings::SettingsFaults.
     Base::Result<std::optional<GatewaySettings>> changed();
 
 private:
