--- a/src/libs/gateway/metricshandler.h
+++ b/src/libs/gateway/metricshandler.h
@@ -9,11 +9,11 @@
 
 namespace Gateway {
 
-/// Answers scrapes of the metrics address.
+/// Serves the metrics page at /metrics; answers 404 for other paths.
 class MetricsHandler final : public RequestHandler
 {
 public:
-    /// \a text makes the page.
+    /// \a text returns the page's content and is called for each request.
     explicit MetricsHandler(std::function<std::string()> text)
         : m_text(std::move(text))
     {}
--- a/src/libs/gateway/outputbuffer.h
+++ b/src/libs/gateway/outputbuffer.h
@@ -9,12 +9,13 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-/// Bytes on their way into a socket that does not block.
+/// Buffer of bytes to be written to a non-blocking socket.
 class OutputBuffer
 {
 public:
     void append(std::string_view data) { m_text.append(data); }
-    /// Writes what the socket takes; fails if the connection is broken. Returns the bytes written.
+    /// Writes as much as the socket accepts without blocking and returns the number of bytes
+    /// written. \a ec is set if the connection is broken.
     std::size_t flush(Tcp::socket &socket, boost::system::error_code &ec)
     {
         std::size_t sum = 0;
@@ -34,9 +35,9 @@
             clear();
         return sum;
     }
-    /// What is still to be written.
+    /// The bytes that are still to be written.
     std::string_view text() const { return std::string_view(m_text).substr(m_at); }
-    /// The first \a count bytes of text() have been written.
+    /// Removes the first \a count bytes of text(), which have been written.
     void consume(std::size_t count)
     {
         m_at += count;
