--- a/tests/auto/gateway/loopbackserver.h
+++ b/tests/auto/gateway/loopbackserver.h
@@ -20,7 +20,7 @@
 
 namespace Gateway {
 
-/// A backend server on loopback that does one step at a time, on the thread of its test.
+/// A backend server on loopback that the test drives step by step on its own thread.
 class LoopbackServer
 {
 public:
@@ -28,7 +28,7 @@
         : m_acceptor(io, {boost::asio::ip::make_address_v4("127.0.0.1"), 0})
     {}
 
-    /// The header fields that it speaks.
+    /// Names of the header fields that the server uses.
     static HeaderNames names()
     {
         HeaderNames names;
@@ -47,10 +47,11 @@
         it.address = "127.0.0.1:" + std::to_string(m_acceptor.local_endpoint().port());
         return it;
     }
-    /// Whether a connection waits to be accepted.
+    /// Whether a connection is pending.
     bool isCalled() { return isReadable(m_acceptor.native_handle()); }
     Tcp::socket accept() { return m_acceptor.accept(); }
-    /// Reads a request without a body; empty if the caller has closed the connection.
+    /// Reads a request without a body. Returns an empty text if the other end has closed the
+    /// connection.
     static std::string readRequest(Tcp::socket &socket)
     {
         std::string text;
@@ -65,13 +66,14 @@
                                  + ": s\r\nContent-Length: 2\r\n\r\nok";
         boost::asio::write(socket, boost::asio::buffer(text));
     }
-    /// Closes the connection; returns once the other end has been told.
-    static void close(Tcp::socket &socket, const std::function<bool()> &isTold)
+    /// Closes the connection and waits until the other end has received the close, as \a isNoticed
+    /// reports.
+    static void close(Tcp::socket &socket, const std::function<bool()> &isNoticed)
     {
         socket.close();
-        for (int i = 0; i < 1000 && !isTold(); ++i)
+        for (int i = 0; i < 1000 && !isNoticed(); ++i)
             usleep(1000);
-        REQUIRE(isTold());
+        REQUIRE(isNoticed());
     }
     static bool isReadable(int descriptor)
     {
--- a/tests/auto/gateway/tst_backendpool.cpp
+++ b/tests/auto/gateway/tst_backendpool.cpp
@@ -24,8 +24,8 @@
     int failures = 0;
 };
 
-/// A pool and its server, both on this thread.
-class Pool
+/// A pool and its server, both on the thread of the test.
+class PoolFixture
 {
 public:
     std::shared_ptr<BackendConnection> send(const std::string &requestId, bool isNotRepeatable)
@@ -35,7 +35,7 @@
         attempt.requestId = requestId;
         return m_pool.send({m_entry, std::move(attempt), isNotRepeatable}, listener, bootTimeNow());
     }
-    /// Takes the server's side of one request on a new connection.
+    /// Accepts a new connection, answers one request on it and waits until the pool has the answer.
     Tcp::socket serve(const std::string &requestId)
     {
         Tcp::socket socket = server.accept();
@@ -67,29 +67,32 @@
 
 } // namespace
 
-// Guards against a request of which nobody knows whether it ran, since it crossed the close of an
-// idle connection.
-TEST_CASE("what must not run twice goes on no connection that its server has closed", "[gateway]")
+// Guards against a request of which it is unknown whether it ran, since it was sent on an idle
+// connection while the server closed that.
+TEST_CASE(
+    "a request that must not run twice is not sent on a connection that its server has closed",
+    "[gateway]")
 {
-    Pool pool;
-    const std::shared_ptr<BackendConnection> first = pool.send("r-1", true);
-    Tcp::socket socket = pool.serve("r-1");
+    PoolFixture fixture;
+    const std::shared_ptr<BackendConnection> first = fixture.send("r-1", true);
+    Tcp::socket socket = fixture.serve("r-1");
     REQUIRE(first->isIdle());
-    // The close has arrived, and the pool has not handled it yet.
+    // The close has arrived, but the pool has not handled it yet.
     LoopbackServer::close(socket, [&] { return first->isStale(); });
     REQUIRE(first->isIdle());
-    const std::shared_ptr<BackendConnection> second = pool.send("r-2", true);
+    const std::shared_ptr<BackendConnection> second = fixture.send("r-2", true);
     CHECK(second != first);
-    REQUIRE(pool.server.isCalled());
-    pool.serve("r-2");
-    CHECK(pool.listener.failures == 0);
+    REQUIRE(fixture.server.isCalled());
+    fixture.serve("r-2");
+    CHECK(fixture.listener.failures == 0);
 }
 
-TEST_CASE("what must not run twice goes on a kept connection that is open", "[gateway]")
+TEST_CASE("a request that must not run twice is sent on an idle connection that is open",
+          "[gateway]")
 {
-    Pool pool;
-    const std::shared_ptr<BackendConnection> first = pool.send("r-1", true);
-    const Tcp::socket socket = pool.serve("r-1");
-    CHECK(pool.send("r-2", true) == first);
-    CHECK_FALSE(pool.server.isCalled());
+    PoolFixture fixture;
+    const std::shared_ptr<BackendConnection> first = fixture.send("r-1", true);
+    const Tcp::socket socket = fixture.serve("r-1");
+    CHECK(fixture.send("r-2", true) == first);
+    CHECK_FALSE(fixture.server.isCalled());
 }
