--- a/tests/auto/gateway/tst_httplistener.cpp
+++ b/tests/auto/gateway/tst_httplistener.cpp
@@ -17,11 +17,11 @@
 
 constexpr std::string_view requestText = "GET /x HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// Answers each request at once, as the last one of its connection or not.
-class Refuser final : public RequestHandler
+/// Refuses each request at once, and closes the connection after it if created with \a closes.
+class RefusingHandler final : public RequestHandler
 {
 public:
-    explicit Refuser(bool closes)
+    explicit RefusingHandler(bool closes)
         : m_closes(closes)
     {}
 
@@ -39,12 +39,12 @@
     bool m_closes;
 };
 
-/// A listener on loopback, and callers that connect from the same thread.
+/// A listener on loopback, and callers on the same thread.
 class Loopback
 {
 public:
     explicit Loopback(bool closes)
-        : m_refuser(closes)
+        : m_handler(closes)
     {
         Tcp::acceptor probe(m_io, {boost::asio::ip::make_address_v4("127.0.0.1"), 0});
         m_port = probe.local_endpoint().port();
@@ -52,12 +52,13 @@
         boost::leaf::try_handle_all(
             [&]() -> Base::Result<void> {
                 BOOST_LEAF_ASSIGN(listener, HttpListener::create(m_io, {"127.0.0.1", m_port},
-                                                                 {m_refuser, m_limits, m_buffer}));
+                                                                 {m_handler, m_limits, m_buffer}));
                 return {};
             },
             [] { FAIL("cannot listen"); });
     }
 
+    /// Connects a caller that sends \a text.
     Tcp::socket caller(std::string_view text)
     {
         Tcp::socket socket(m_callers);
@@ -65,7 +66,7 @@
         boost::asio::write(socket, boost::asio::buffer(text.data(), text.size()));
         return socket;
     }
-    /// Everything until the connection ends.
+    /// Reads until the listener closes the connection.
     static std::string answerOf(Tcp::socket &socket)
     {
         std::string text;
@@ -79,23 +80,23 @@
 private:
     boost::asio::io_context m_io;
     boost::asio::io_context m_callers;
-    Refuser m_refuser;
+    RefusingHandler m_handler;
     ConnectionLimits m_limits;
     std::string m_buffer = std::string(65536, '\0');
     std::uint16_t m_port = 0;
 
 public:
-    // After the loop that its sockets belong to, so that it ends before it.
+    // Declared after the event loop of its sockets, so that it is destroyed first.
     std::unique_ptr<HttpListener> listener;
 };
 
 } // namespace
 
-TEST_CASE("callers that connect anew and are refused take one turn of the loop", "[gateway]")
+TEST_CASE("new connections whose requests are refused take one turn of the event loop", "[gateway]")
 {
-    // A large customer's callers connect two thousand times a second to one small host, and nobody
-    // is served there: its processor goes into refusals. Cause: each connection was accepted in a
-    // turn of its own, registered with the loop, waited for, answered, and waited for again.
+    // Guards against a host that serves nobody since refusals use its whole processor: the callers
+    // of a large customer may connect 2000 times a second to one small host. This happened while
+    // each connection took several turns, to be accepted, registered, waited for and answered.
     Loopback loopback(true);
     std::vector<Tcp::socket> callers;
     for (int i = 0; i < 100; ++i)
@@ -110,7 +111,7 @@
     CHECK(loopback.listener->connections() == 0);
 }
 
-TEST_CASE("a connection is kept for further requests, and may come in pieces", "[gateway]")
+TEST_CASE("a connection carries several requests, which may arrive in pieces", "[gateway]")
 {
     Loopback loopback(false);
     Tcp::socket caller = loopback.caller(requestText.substr(0, 9));
