--- a/tests/auto/gateway/tst_storeclient.cpp
+++ b/tests/auto/gateway/tst_storeclient.cpp
@@ -32,10 +32,10 @@
     void configurationConfirmed(Base::TimePoint) override { ++confirmations; }
     void serversRead(const std::vector<Routing::RegisteredServer> &, Base::TimePoint) override
     {
-        wasAwayBefore = std::exchange(isStoreAway, false);
+        wasStoreLost = std::exchange(isStoreLost, false);
         ++serverReadings;
     }
-    void storeFailed() override { isStoreAway = true; }
+    void storeFailed() override { isStoreLost = true; }
     void unreadableChanged(const std::set<std::string> &) override {}
     void storeAnswered(const char *, bool) override {}
     void hostsRead(const std::vector<HostRow> &) override {}
@@ -45,18 +45,18 @@
     int configurations = 0;
     int confirmations = 0;
     int serverReadings = 0;
-    bool isStoreAway = false;
-    /// Whether the store was known to have been away when the servers were last read.
-    bool wasAwayBefore = false;
+    bool isStoreLost = false;
+    /// Whether the store had been reported as failed before the servers were last read.
+    bool wasStoreLost = false;
 };
 
-/// A client of a store on loopback, both on this thread.
-class Loopback
+/// A client and its store on loopback, both on the thread of the test.
+class StoreFixture
 {
 public:
-    Loopback()
-        : m_null(open("/dev/null", O_WRONLY | O_CLOEXEC))
-        , m_log(m_null, 0)
+    StoreFixture()
+        : m_nullDescriptor(open("/dev/null", O_WRONLY | O_CLOEXEC))
+        , m_log(m_nullDescriptor, 0)
     {
         Tcp::acceptor probe(m_io, {boost::asio::ip::make_address_v4("127.0.0.1"), 0});
         const Settings::Address address{"127.0.0.1", probe.local_endpoint().port()};
@@ -71,11 +71,12 @@
         client =
             std::make_unique<StoreClient>(m_io, address, m_protocol, HostRow{}, listener, m_log);
     }
-    ~Loopback() { close(m_null); }
-    Loopback(const Loopback &) = delete;
-    Loopback &operator=(const Loopback &) = delete;
+    ~StoreFixture() { close(m_nullDescriptor); }
+    StoreFixture(const StoreFixture &) = delete;
+    StoreFixture &operator=(const StoreFixture &) = delete;
 
-    /// False if \a condition does not hold within \a limit.
+    /// Runs the client and the store until \a condition holds. Returns false if it does not hold
+    /// within \a limit.
     bool runUntil(const std::function<bool()> &condition, Base::Duration limit = seconds(5))
     {
         const Base::TimePoint end = bootTimeNow() + limit;
@@ -90,7 +91,7 @@
     }
 
 private:
-    // Before what has sockets of it.
+    // Declared before the members with sockets of it, so that it is destroyed after them.
     boost::asio::io_context m_io;
 
 public:
@@ -101,7 +102,7 @@
     PlainProtocol m_protocol;
     ConnectionLimits m_limits;
     std::string m_buffer = std::string(65536, '\0');
-    int m_null;
+    int m_nullDescriptor;
     EventLog m_log;
     std::unique_ptr<HttpListener> m_server;
 
@@ -111,128 +112,132 @@
 
 } // namespace
 
-TEST_CASE("an outage that only the watch of the configuration meets counts for the servers too",
+TEST_CASE("an outage that affects only the watch of the configuration counts for the servers too",
           "[gateway]")
 {
-    // The store is away for less than the time between two readings of the servers, and their
-    // entries lapse in it. Its next list shows none of them, and callers get 503 although every
-    // server runs. Cause: only a failed reading of the servers told that the store had been away,
-    // so the missing entries counted as servers that are gone.
-    Loopback fleet;
-    fleet.client->setDuty(StoreClient::Duty::ForZone);
-    REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 1; }));
-    CHECK_FALSE(fleet.listener.wasAwayBefore);
-    fleet.store.refused["/watch"] = true;
-    fleet.store.refused["/configuration"] = true;
-    const int watches = fleet.store.calls["/watch"];
-    REQUIRE(fleet.runUntil([&] { return fleet.store.calls["/watch"] > watches; }));
-    fleet.store.refused.clear();
-    REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 2; }));
-    CHECK(fleet.listener.wasAwayBefore);
+    // Guards against dropping running servers, after which callers get 503. An outage may be
+    // shorter than the interval between two readings of the servers, and their entries may expire
+    // during it. If only a failed reading of the servers reports the outage, the entries that the
+    // next reading lacks count as servers that are gone.
+    StoreFixture fixture;
+    fixture.client->setDuty(StoreClient::Duty::ForZone);
+    REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 1; }));
+    CHECK_FALSE(fixture.listener.wasStoreLost);
+    fixture.store.refused["/watch"] = true;
+    fixture.store.refused["/configuration"] = true;
+    const int watches = fixture.store.calls["/watch"];
+    REQUIRE(fixture.runUntil([&] { return fixture.store.calls["/watch"] > watches; }));
+    fixture.store.refused.clear();
+    REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 2; }));
+    CHECK(fixture.listener.wasStoreLost);
 }
 
-TEST_CASE("a host that others read for looks at the servers again after an outage of the watch",
+TEST_CASE("a host for which another one reads reads the servers again after a failed watch",
           "[gateway]")
 {
-    // A host loses the store while it reads for itself, and another one stands in for it. It must
-    // not count its servers as doubtful for ever: it could never lead its zone again.
-    Loopback fleet;
-    fleet.client->setDuty(StoreClient::Duty::Self);
-    REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 1; }));
-    fleet.store.refused["/watch"] = true;
-    REQUIRE(fleet.runUntil([&] { return fleet.listener.isStoreAway; }));
-    fleet.store.refused.clear();
-    fleet.client->setDuty(StoreClient::Duty::None);
-    CHECK(fleet.runUntil([&] { return !fleet.listener.isStoreAway; }));
+    // A host loses the store while it reads for itself, and another host takes over. Its servers
+    // must not count as unconfirmed for ever, since it could then never lead its zone again.
+    StoreFixture fixture;
+    fixture.client->setDuty(StoreClient::Duty::Self);
+    REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 1; }));
+    fixture.store.refused["/watch"] = true;
+    REQUIRE(fixture.runUntil([&] { return fixture.listener.isStoreLost; }));
+    fixture.store.refused.clear();
+    fixture.client->setDuty(StoreClient::Duty::None);
+    CHECK(fixture.runUntil([&] { return !fixture.listener.isStoreLost; }));
 }
 
-TEST_CASE("a host that has lost the store tries one call until that is answered", "[gateway]")
+TEST_CASE("a host that has lost the store retries only one call until that is answered",
+          "[gateway]")
 {
-    // The store turns a third of 195 hosts away for nine seconds, or is down for all of them. Each
-    // refused call is paid for, and each host tried for the configuration, for the servers and for
-    // its row, side by side. One of them tells as well when the store takes calls again.
-    Loopback fleet;
-    fleet.listener.rows = {HostRow{}};
-    fleet.client->setDuty(StoreClient::Duty::Self);
-    REQUIRE(fleet.runUntil([&] { return fleet.store.calls["/row"] == 1; }));
+    // Guards against needless calls during an outage, each of which costs money, also if it is
+    // refused: when the store refuses a third of 195 hosts for 9 s, or is down for all of them,
+    // each host retried the calls for the configuration, the servers and its row in parallel. One
+    // of them suffices to notice that the store accepts calls again.
+    StoreFixture fixture;
+    fixture.listener.rows = {HostRow{}};
+    fixture.client->setDuty(StoreClient::Duty::Self);
+    REQUIRE(fixture.runUntil([&] { return fixture.store.calls["/row"] == 1; }));
     for (const char *path : {"/watch", "/configuration", "/servers", "/hosts", "/row"})
-        fleet.store.refused[path] = true;
-    REQUIRE(fleet.runUntil([&] { return fleet.client->isLost(); }));
-    fleet.store.calls.clear();
+        fixture.store.refused[path] = true;
+    REQUIRE(fixture.runUntil([&] { return fixture.client->isLost(); }));
+    fixture.store.calls.clear();
     const Base::TimePoint end = bootTimeNow() + milliseconds(2500);
-    REQUIRE(fleet.runUntil([&] { return bootTimeNow() >= end; }));
-    // After pauses of 0.25, 0.5, 1 and 1 second; one call for the servers may have been under way.
-    CHECK(fleet.store.calls["/watch"] + fleet.store.calls["/configuration"] <= 4);
-    CHECK(fleet.store.calls["/servers"] <= 1);
-    CHECK(fleet.store.calls["/row"] == 0);
-    const int readings = fleet.listener.serverReadings;
-    fleet.store.refused.clear();
-    CHECK(fleet.runUntil([&] { return fleet.listener.serverReadings > readings; }));
+    REQUIRE(fixture.runUntil([&] { return bootTimeNow() >= end; }));
+    // The pauses are 0.25, 0.5, 1 and 1 s. One call for the servers may have been in flight.
+    CHECK(fixture.store.calls["/watch"] + fixture.store.calls["/configuration"] <= 4);
+    CHECK(fixture.store.calls["/servers"] <= 1);
+    CHECK(fixture.store.calls["/row"] == 0);
+    const int readings = fixture.listener.serverReadings;
+    fixture.store.refused.clear();
+    CHECK(fixture.runUntil([&] { return fixture.listener.serverReadings > readings; }));
 }
 
-// Guards against a key that was taken away and is used on, since an answer from an older state of
-// the store counted as a proof, or brought back a server that left.
-TEST_CASE("an answer from an older state of the store proves nothing", "[gateway]")
+// Guards against answers from an older state of the store that confirm the configuration, so that a
+// revoked key stays accepted, or that bring back a server which has left.
+TEST_CASE("an answer from an older state of the store confirms nothing", "[gateway]")
 {
-    Loopback fleet;
-    fleet.client->setDuty(StoreClient::Duty::ForZone);
-    REQUIRE(fleet.runUntil(
-        [&] { return fleet.listener.confirmations > 0 && fleet.listener.serverReadings > 0; }));
-    fleet.store.version = 6;
+    StoreFixture fixture;
+    fixture.client->setDuty(StoreClient::Duty::ForZone);
+    REQUIRE(fixture.runUntil(
+        [&] { return fixture.listener.confirmations > 0 && fixture.listener.serverReadings > 0; }));
+    fixture.store.version = 6;
     const auto calls = [&] {
-        return fleet.store.calls["/watch"] + fleet.store.calls["/configuration"];
+        return fixture.store.calls["/watch"] + fixture.store.calls["/configuration"];
     };
-    // What was asked before the change may still be under way.
-    REQUIRE(fleet.runUntil([&, n = calls()] { return calls() > n + 1; }));
-    const int confirmations = fleet.listener.confirmations;
-    const int serverReadings = fleet.listener.serverReadings;
-    REQUIRE(fleet.runUntil([&, n = calls(), reads = fleet.store.calls["/servers"]] {
-        return calls() > n + 2 && fleet.store.calls["/servers"] > reads + 1;
+    // A call that was sent before the change may still be in flight.
+    REQUIRE(fixture.runUntil([&, n = calls()] { return calls() > n + 1; }));
+    const int confirmations = fixture.listener.confirmations;
+    const int serverReadings = fixture.listener.serverReadings;
+    REQUIRE(fixture.runUntil([&, n = calls(), reads = fixture.store.calls["/servers"]] {
+        return calls() > n + 2 && fixture.store.calls["/servers"] > reads + 1;
     }));
-    CHECK(fleet.listener.confirmations == confirmations);
-    CHECK(fleet.listener.serverReadings == serverReadings);
-    CHECK(fleet.listener.configurations == 1);
-    fleet.store.version = 8;
-    CHECK(fleet.runUntil([&] {
-        return fleet.listener.configurations == 2 && fleet.listener.confirmations > confirmations
-               && fleet.listener.serverReadings > serverReadings;
+    CHECK(fixture.listener.confirmations == confirmations);
+    CHECK(fixture.listener.serverReadings == serverReadings);
+    CHECK(fixture.listener.configurations == 1);
+    fixture.store.version = 8;
+    CHECK(fixture.runUntil([&] {
+        return fixture.listener.configurations == 2
+               && fixture.listener.confirmations > confirmations
+               && fixture.listener.serverReadings > serverReadings;
     }));
 }
 
-TEST_CASE("a connection that breaks is no outage of the store", "[gateway]")
+TEST_CASE("a broken connection is no outage of the store", "[gateway]")
 {
-    // All connections are reset while a server leaves that never says so: its entry goes. Three
-    // seconds later requests still reach it, a second after its time to leave. Cause: the broken
-    // watch counted as an outage, after which missing entries are kept for two seconds; and the
-    // next watch was held for half a second before it told that the store was there.
-    Loopback fleet;
-    fleet.client->setDuty(StoreClient::Duty::ForZone);
-    REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 1; }));
+    // Guards against requests to a server that has left. All connections are reset while a server
+    // leaves without announcing it: its entry disappears. If the broken watch counts as an outage,
+    // missing entries are kept for 2 s, and the next watch is held for 0.5 s before it shows that
+    // the store is available. Requests then reached the server 3 s later, 1 s after the bound.
+    StoreFixture fixture;
+    fixture.client->setDuty(StoreClient::Duty::ForZone);
+    REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 1; }));
     for (const char *path : {"/watch", "/servers"}) {
-        const int calls = fleet.store.calls[path];
-        fleet.store.breaksOnce[path] = true;
-        REQUIRE(fleet.runUntil([&] { return fleet.store.calls[path] > calls; }));
-        const int readings = fleet.listener.serverReadings;
-        REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings > readings; }));
-        CHECK_FALSE(fleet.listener.wasAwayBefore);
-        CHECK_FALSE(fleet.client->isLost());
+        const int calls = fixture.store.calls[path];
+        fixture.store.breaksOnce[path] = true;
+        REQUIRE(fixture.runUntil([&] { return fixture.store.calls[path] > calls; }));
+        const int readings = fixture.listener.serverReadings;
+        REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings > readings; }));
+        CHECK_FALSE(fixture.listener.wasStoreLost);
+        CHECK_FALSE(fixture.client->isLost());
     }
 }
 
-TEST_CASE("an outage counts also for a host that stops reading because of it", "[gateway]")
+TEST_CASE("an outage also counts for a host that stops reading because of it", "[gateway]")
 {
-    // Two hosts of a zone lose the store in turn. The first one tells so and is led by the other
-    // from then on; when both are back it drops all servers, whose entries lapsed meanwhile, and
-    // callers get 503. Cause: its second failed call did not count as an outage any more.
-    Loopback fleet;
-    fleet.client->setDuty(StoreClient::Duty::ForZone);
-    REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 1; }));
-    fleet.store.breaksOnce["/watch"] = true;
-    fleet.store.refused["/configuration"] = true;
-    REQUIRE(fleet.runUntil([&] { return fleet.client->isLost(); }));
-    fleet.client->setDuty(StoreClient::Duty::None);
-    CHECK(fleet.runUntil([&] { return fleet.listener.isStoreAway; }, seconds(1)));
-    fleet.store.refused.clear();
-    REQUIRE(fleet.runUntil([&] { return fleet.listener.serverReadings == 2; }));
-    CHECK(fleet.listener.wasAwayBefore);
+    // Guards against dropping all servers, after which callers get 503. Two hosts of a zone lose
+    // the store in turn. The first one reports it and is led by the other from then on. If its
+    // second failed call does not count as an outage, it drops the servers whose entries expired
+    // meanwhile once both hosts reach the store again.
+    StoreFixture fixture;
+    fixture.client->setDuty(StoreClient::Duty::ForZone);
+    REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 1; }));
+    fixture.store.breaksOnce["/watch"] = true;
+    fixture.store.refused["/configuration"] = true;
+    REQUIRE(fixture.runUntil([&] { return fixture.client->isLost(); }));
+    fixture.client->setDuty(StoreClient::Duty::None);
+    CHECK(fixture.runUntil([&] { return fixture.listener.isStoreLost; }, seconds(1)));
+    fixture.store.refused.clear();
+    REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 2; }));
+    CHECK(fixture.listener.wasStoreLost);
 }
