--- a/tests/auto/gateway/tst_eventlog.cpp
+++ b/tests/auto/gateway/tst_eventlog.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("a line is one JSON object for any text in it", "[gateway]")
+TEST_CASE("a log line is one JSON object, whatever text it contains", "[gateway]")
 {
     rc::prop("any text", [](const std::string &text) {
         const std::string line =
@@ -57,16 +57,16 @@
         RC_ASSERT(line.back() == '\n');
         RC_ASSERT(line.find('\n') == line.size() - 1);
         const auto json = nlohmann::json::parse(line, nullptr, false);
-        // Bytes that are no UTF-8 are the sender's; all else is read back as it was.
+        // Text that is not valid UTF-8 is copied into the line, which is then no valid JSON.
         if (!json.is_discarded())
             RC_ASSERT(json["request"] == text);
     });
 }
 
-TEST_CASE("a reader that has stopped costs lines and no waiting", "[gateway]")
+TEST_CASE("a stopped reader makes the log drop lines and never block", "[gateway]")
 {
-    // The log collector hangs. All callers of the host hang too, since the process waits for its
-    // standard output. Cause: writing a line waited for the reader.
+    // Guards against blocking writes: when the log collector stops reading standard output, a
+    // process that waits for it stops serving its callers.
     Pipe pipe;
     EventLog log(pipe.writeEnd(), 150);
     const std::string text(200, 'x');
@@ -75,7 +75,7 @@
         log.flush();
     }
     CHECK(log.dropped() > 10000);
-    // The reader comes back: it sees whole lines, and how many were dropped.
+    // The reader resumes: it gets complete lines and the number of dropped ones.
     std::string got;
     for (int i = 0; i < 200; ++i) {
         got += pipe.read();
@@ -93,7 +93,7 @@
     }
 }
 
-TEST_CASE("under load failures are kept longer than answered requests", "[gateway]")
+TEST_CASE("failed requests have a larger line limit than answered ones", "[gateway]")
 {
     Pipe pipe;
     EventLog log(pipe.writeEnd(), 150);
@@ -113,7 +113,7 @@
     CHECK(count("\"answered\"") == 150);
     CHECK(count("\"failed\"") == 300);
     CHECK(log.dropped() == 1550);
-    // The next second has an allowance of its own.
+    // The limit applies to each second anew.
     writeRequest(log, "answered", false, start + seconds(1));
     log.flush();
     CHECK(pipe.read().find("\"answered\"") != std::string::npos);
