--- a/tests/auto/gateway/tst_texts.cpp
+++ b/tests/auto/gateway/tst_texts.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("what only we may set is not taken from callers", "[gateway]")
+TEST_CASE("fields that only the gateway may set are not taken from callers", "[gateway]")
 {
     const Request request = parsed("POST /cars/?a=b HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\n"
                                    "customer: somebody else\r\nReserve: x\r\nExpected-Server: y\r\n"
@@ -52,7 +52,7 @@
              "Content-Length: 3\r\n\r\nabc");
 }
 
-TEST_CASE("the body of a refusal is the product's, whatever the caller's id", "[gateway]")
+TEST_CASE("the body of a refusal has the documented form for any request id", "[gateway]")
 {
     const Failure refusal{FailureType::HostBehind, false, Base::Milliseconds(400)};
     CHECK(failureBody(refusal, "a1")
@@ -66,7 +66,7 @@
     CHECK(failureStatus(lost) == 502);
 }
 
-TEST_CASE("a server is told where to fetch a prompt's beginning, by us alone", "[gateway]")
+TEST_CASE("only the gateway tells a server where to fetch the beginning of a prompt", "[gateway]")
 {
     const Request request =
         parsed("GET /cars/ HTTP/1.1\r\nHost: a\r\nFetch-From: 10.0.0.9:1\r\n\r\n");
@@ -78,7 +78,7 @@
     CHECK(text.find("10.0.0.9") == std::string::npos);
 }
 
-TEST_CASE("a stream that is gone on with names the last event once", "[gateway]")
+TEST_CASE("a request that resumes a stream has one Last-Event-Id field", "[gateway]")
 {
     const Request request = parsed("GET /cars/ HTTP/1.1\r\nHost: a\r\nLast-Event-Id: 3\r\n\r\n");
     const std::string text = forwardedText(request, {1, "", "s-1", "", "17", false}, names());
@@ -89,9 +89,9 @@
     CHECK(first.find("Last-Event-Id: 3\r\n") != std::string::npos);
 }
 
-TEST_CASE("events come out whole and once, however their bytes are cut", "[gateway]")
+TEST_CASE("events come out complete and once, however their bytes are split", "[gateway]")
 {
-    rc::prop("the text is that of the events after the last one that the caller has", [] {
+    rc::prop("the output has the events after the last one that the caller has received", [] {
         const int events = *rc::gen::inRange(0, 12);
         const int have = *rc::gen::inRange(0, 12);
         std::string text;
@@ -120,11 +120,12 @@
     });
 }
 
-TEST_CASE("a half event of a server that crashed is not joined with the next server's first",
+TEST_CASE("an incomplete event of a crashed server is not joined with the next server's first",
           "[gateway]")
 {
-    // A caller sees "data: bright rdata: red" in one event: the first half came from a server that
-    // crashed in the middle of it, the second from the server that went on with the stream.
+    // Guards against a mixed event such as "data: bright rdata: red", whose first half comes from a
+    // server that crashed in the middle of it and whose second half from the server that resumed
+    // the stream.
     EventSplitter splitter;
     CHECK(splitter.push("id: 1\ndata: a\n\nid: 2\ndata: bright r").count == 1);
     splitter.restart();
@@ -132,7 +133,7 @@
     CHECK(next.text == "id: 2\ndata: bright red\n\n");
 }
 
-TEST_CASE("a failure after which the request may have run promises nothing", "[gateway]")
+TEST_CASE("the answer does not deny that a request ran if it may have run", "[gateway]")
 {
     for (const FailureType type :
          {FailureType::NotReady, FailureType::TurnedAway, FailureType::NoServer,
@@ -146,7 +147,8 @@
           == "0.250");
 }
 
-TEST_CASE("prompt fields of any bytes are read as far as they make sense", "[gateway]")
+TEST_CASE("prompt fields with arbitrary bytes are parsed up to the first malformed part",
+          "[gateway]")
 {
     CHECK(parseTokenCounts("1460,80").prompt == 1460);
     CHECK(parseTokenCounts("1460,80").output == 80);
@@ -160,7 +162,7 @@
     });
 }
 
-TEST_CASE("every fault of a gateway's settings is told", "[gateway]")
+TEST_CASE("every fault of a gateway's settings is reported", "[gateway]")
 {
     const std::string good = R"({"host":"edge-1","zone":"z","region":"r",
         "callerAddress":"10.1.0.1:8000","readinessAddress":"10.1.0.1:8001",
