--- a/tests/auto/gateway/tst_knowledgecopy.cpp
+++ b/tests/auto/gateway/tst_knowledgecopy.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Empty if \a bytes are no copy.
+/// Decodes \a bytes; returns an empty value if they are no copy.
 std::optional<ConfigurationCopy> decoded(const std::string &bytes)
 {
     return boost::leaf::try_handle_all(
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a copy of the configuration is read as it was written", "[gateway]")
+TEST_CASE("an encoded copy of the configuration is decoded unchanged", "[gateway]")
 {
     rc::prop("any age and text", [] {
         ConfigurationCopy copy;
@@ -39,7 +39,7 @@
     });
 }
 
-TEST_CASE("any bytes from a neighbour are a copy or a typed failure", "[gateway]")
+TEST_CASE("decoding arbitrary bytes gives a copy or MalformedCopy", "[gateway]")
 {
     rc::prop("any bytes", [](const std::string &bytes) { decoded(bytes); });
     rc::prop("a copy that was cut or changed", [] {
@@ -49,6 +49,6 @@
             bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] = *rc::gen::arbitrary<char>();
         decoded(bytes);
     });
-    // A text of a length that no memory holds.
+    // The length of the text exceeds any memory.
     CHECK_FALSE(decoded(std::string("\x83\x01\x00\x5b\x7f\xff\xff\xff\xff\xff\xff\xff", 12)));
 }
