--- a/tests/auto/platformadapter/tst_storecodec.cpp
+++ b/tests/auto/platformadapter/tst_storecodec.cpp
@@ -10,20 +10,20 @@
 
 namespace {
 
-enum class Found { Good, Refused, HistoryGone, Malformed, Other };
+enum class Outcome { Good, Refused, HistoryGone, Malformed, Other };
 
 template <typename Read>
-Found outcomeOf(Read read)
+Outcome outcomeOf(Read read)
 {
     return boost::leaf::try_handle_all(
-        [&]() -> Base::Result<Found> {
+        [&]() -> Base::Result<Outcome> {
             BOOST_LEAF_CHECK(read());
-            return Found::Good;
+            return Outcome::Good;
         },
-        [](const Gateway::StoreRefused &) { return Found::Refused; },
-        [](const Gateway::StoreHistoryGone &) { return Found::HistoryGone; },
-        [](const Gateway::MalformedStoreAnswer &) { return Found::Malformed; },
-        [] { return Found::Other; });
+        [](const Gateway::StoreRefused &) { return Outcome::Refused; },
+        [](const Gateway::StoreHistoryGone &) { return Outcome::HistoryGone; },
+        [](const Gateway::MalformedStoreAnswer &) { return Outcome::Malformed; },
+        [] { return Outcome::Other; });
 }
 
 std::string rowsBody(const std::string &key, const std::string &value)
@@ -61,7 +61,7 @@
     return Json{{"rows", rows}, {"hasMore", false}, {"ver", 9}, {"nowMs", 51230}}.dump();
 }
 
-/// serverExample with one field set to \a value.
+/// Returns serverExample with \a field set to \a value.
 std::string serverWith(const std::string &field, const Json &value)
 {
     Json json = Json::parse(serverExample);
@@ -71,7 +71,8 @@
 
 } // namespace
 
-TEST_CASE("the operator's configuration becomes routes, services and customers", "[platform]")
+TEST_CASE("the operator's configuration is parsed into routes, services and customers",
+          "[platform]")
 {
     const auto read = readConfiguration(configurationExample);
     REQUIRE(read);
@@ -92,24 +93,25 @@
     CHECK(read->limits.tokensPerSecond == 660000);
 }
 
-TEST_CASE("a kind of route that is not known allows least", "[platform]")
+TEST_CASE("an unknown kind of route is treated as the most restrictive one", "[platform]")
 {
     std::string text = configurationExample;
     text.replace(text.find("\"unsafe\""), 8, "\"novel\"");
     CHECK(readConfiguration(text)->routes[1].kind == Routing::WorkKind::NotIdempotent);
 }
 
-TEST_CASE("a configuration that cannot be read is no configuration", "[platform]")
+TEST_CASE("a malformed configuration is rejected as a whole", "[platform]")
 {
-    // A route that was left out would be answered with 404 although it is in force.
+    // If only the malformed route were left out, its requests would get 404 although it is in
+    // force.
     std::string text = configurationExample;
     text.replace(text.find("\"prefix\":\"/puxa403/\""), 20, "\"prefix\":7          ");
-    CHECK(outcomeOf([&] { return readConfiguration(text); }) == Found::Malformed);
+    CHECK(outcomeOf([&] { return readConfiguration(text); }) == Outcome::Malformed);
     for (const std::string bad : {"", "[]", "{}", "{\"version\":0}", "{\"version\":\"7\"}"})
-        CHECK(outcomeOf([&] { return readConfiguration(bad); }) == Found::Malformed);
+        CHECK(outcomeOf([&] { return readConfiguration(bad); }) == Outcome::Malformed);
 }
 
-TEST_CASE("a server's entry names one start of it", "[platform]")
+TEST_CASE("the entry of a server identifies one start of it", "[platform]")
 {
     const auto server = readServer("i-1", serverExample);
     REQUIRE(server);
@@ -124,19 +126,20 @@
     CHECK(again->id != server->id);
 }
 
-TEST_CASE("an entry that no server writes names no server", "[platform]")
+TEST_CASE("an entry with values that no server writes is malformed", "[platform]")
 {
-    // Requests fail at an address where nothing listens, or a server is shut out for good while it
-    // runs. Another program wrote an entry, and what was missing or unknown in it was guessed.
+    // Guards against defaults for missing or unknown values in an entry that another program wrote:
+    // requests would fail at an address where nothing listens, or a running server would be
+    // excluded for good.
     const auto isMalformed = [](const std::string &text) {
-        return outcomeOf([&] { return readServer("i-1", text); }) == Found::Malformed;
+        return outcomeOf([&] { return readServer("i-1", text); }) == Outcome::Malformed;
     };
     const Json example = Json::parse(serverExample);
     for (const auto &[name, value] : example.items()) {
         INFO(name);
         Json without = example;
         without.erase(name);
-        // Servers that never start again under their id do not tell when they started.
+        // Servers that never restart under the same id do not state when they started.
         CHECK(isMalformed(without.dump()) == (name != "born"));
         CHECK(isMalformed(serverWith(name, nullptr)) == (name != "born"));
         CHECK(isMalformed(serverWith(name, Json::array())));
@@ -154,19 +157,19 @@
     CHECK(isMalformed("{}"));
 }
 
-TEST_CASE("an entry that cannot be read does not hide the others", "[platform]")
+TEST_CASE("a malformed entry does not hide the others", "[platform]")
 {
-    // All hosts stop hearing of servers that come and go while one entry of another program lies
-    // in the store. Cause: a reading with one entry that could not be read failed as a whole.
+    // Guards against a reading that fails as a whole because of one malformed entry: no host would
+    // learn of changes of servers while such an entry by another program is in the store.
     const StoreCodec codec;
-    rc::prop("any bytes in one entry beside good ones", [&](const std::string &bytes) {
+    rc::prop("arbitrary bytes in one entry beside good ones", [&](const std::string &bytes) {
         const auto reading = codec.servers(
             {200, rowsBody({{"i-1", serverExample}, {"i-2", bytes}, {"i-3", serverExample}})});
         RC_ASSERT(reading);
         RC_ASSERT(reading->servers.size() == 2);
         RC_ASSERT(reading->unreadable == std::set<std::string>{"i-2"});
     });
-    rc::prop("any row beside good ones", [&] {
+    rc::prop("a malformed row beside good ones", [&] {
         const std::vector<Json> odd = {Json(7), Json::object(), Json{{"key", 7}},
                                        Json{{"key", "k"}, {"value", 3}},
                                        Json{{"key", "k"}, {"value", "%"}}};
@@ -184,7 +187,7 @@
         RC_ASSERT(reading->servers.size() == 2);
         RC_ASSERT(reading->unreadable.size() == 1);
     });
-    rc::prop("any bytes in one host's row beside a good one", [&](const std::string &bytes) {
+    rc::prop("arbitrary bytes in one host's row beside a good one", [&](const std::string &bytes) {
         const std::string good =
             R"({"peerAddress":"10.1.0.1:7400","zone":"z","storeTimeMs":51000})";
         const auto reading = codec.hosts({200, rowsBody({{"edge-1", good}, {"edge-2", bytes}})},
@@ -194,7 +197,7 @@
     });
 }
 
-TEST_CASE("the store's answers become readings or typed failures", "[platform]")
+TEST_CASE("the store's answers are decoded into readings or typed errors", "[platform]")
 {
     const StoreCodec codec;
     const auto reading = codec.configuration({200, rowsBody("config", configurationExample)});
@@ -205,13 +208,13 @@
     const auto configuration = [&](unsigned status, const std::string &body) {
         return outcomeOf([&] { return codec.configuration({status, body}); });
     };
-    CHECK(configuration(410, "") == Found::HistoryGone);
-    CHECK(configuration(429, "") == Found::Refused);
-    CHECK(configuration(503, "") == Found::Refused);
-    CHECK(configuration(200, "{\"rows\":7,\"ver\":1}") == Found::Malformed);
-    CHECK(configuration(200, rowsBody("config", "{}")) == Found::Malformed);
-    // A store that holds nothing yet is no failure.
-    CHECK(configuration(200, R"({"rows":[],"hasMore":false,"ver":0,"nowMs":3})") == Found::Good);
+    CHECK(configuration(410, "") == Outcome::HistoryGone);
+    CHECK(configuration(429, "") == Outcome::Refused);
+    CHECK(configuration(503, "") == Outcome::Refused);
+    CHECK(configuration(200, "{\"rows\":7,\"ver\":1}") == Outcome::Malformed);
+    CHECK(configuration(200, rowsBody("config", "{}")) == Outcome::Malformed);
+    // An empty store is no failure.
+    CHECK(configuration(200, R"({"rows":[],"hasMore":false,"ver":0,"nowMs":3})") == Outcome::Good);
 }
 
 TEST_CASE("servers are read page by page", "[platform]")
@@ -224,15 +227,15 @@
     REQUIRE(page);
     CHECK(codec.readServers(page->continueFrom).target
           == "/-/rows-get?table=servers&part=&from=i-1%00");
-    // A key of another writer with signs that mean something in a query.
+    // The key by another program contains characters with a meaning in a query.
     body["rows"][0]["key"] = "a&limit=1";
     CHECK(codec.servers({200, body.dump()})->continueFrom == "a%26limit%3D1%00");
-    // Nothing to go on from: the page after it would be the first one again, for ever.
+    // Without a readable key there is nowhere to continue: the next page would be the first again.
     body["rows"][0]["key"] = 7;
     CHECK(codec.servers({200, body.dump()})->continueFrom.empty());
 }
 
-TEST_CASE("rows of hosts are known by the store's own clock", "[platform]")
+TEST_CASE("the age of hosts' rows is measured by the store's clock", "[platform]")
 {
     const StoreCodec codec;
     const Gateway::HttpCall write =
@@ -257,16 +260,16 @@
     CHECK(removal["remove"][0]["key"] == "edge-1");
 }
 
-TEST_CASE("any bytes from the store give a typed result", "[platform]")
+TEST_CASE("arbitrary bytes from the store give a typed result", "[platform]")
 {
     const StoreCodec codec;
     rc::prop("any body", [&](const std::string &body) {
-        RC_ASSERT(outcomeOf([&] { return codec.configuration({200, body}); }) != Found::Other);
-        RC_ASSERT(outcomeOf([&] { return codec.servers({200, body}); }) != Found::Other);
+        RC_ASSERT(outcomeOf([&] { return codec.configuration({200, body}); }) != Outcome::Other);
+        RC_ASSERT(outcomeOf([&] { return codec.servers({200, body}); }) != Outcome::Other);
         RC_ASSERT(outcomeOf([&] {
                       return codec.hosts({200, body}, Base::Milliseconds(1));
                   })
-                  != Found::Other);
+                  != Outcome::Other);
     });
     rc::prop("a good value with some bytes changed", [&] {
         std::string value = configurationExample;
@@ -274,7 +277,7 @@
         for (int i = 0; i < changes; ++i)
             value[*rc::gen::inRange<std::size_t>(0, value.size())] = *rc::gen::arbitrary<char>();
         const std::string body = rowsBody("config", value);
-        RC_ASSERT(outcomeOf([&] { return codec.configuration({200, body}); }) != Found::Other);
-        RC_ASSERT(outcomeOf([&] { return readServer("i", value); }) != Found::Other);
+        RC_ASSERT(outcomeOf([&] { return codec.configuration({200, body}); }) != Outcome::Other);
+        RC_ASSERT(outcomeOf([&] { return readServer("i", value); }) != Outcome::Other);
     });
 }
