--- a/src/libs/gateway/gatewaysettings.h
+++ b/src/libs/gateway/gatewaysettings.h
@@ -29,9 +29,10 @@
     Settings::Address storeAddress;
     /// Address at which /metrics is served; empty to serve no metrics.
     std::optional<Settings::Address> metricsAddress;
-    /// Share of the host's processor that this process may use.
+    /// Processor capacity that this process may use, in thousandths of a core.
     Routing::MilliCores processor = 1000;
-    /// IP addresses of other hosts that may be running, to contact at startup.
+    /// IP addresses of other hosts that may be running. They are contacted at this host's own peer
+    /// port; the ports in the settings are ignored.
     std::vector<std::string> seeds;
     /// How long callers may cache the list of entry hosts, that is, the hosts to connect to.
     std::chrono::seconds entryListMaxAge{2};
@@ -41,7 +42,7 @@
     Base::Milliseconds keyRevocation{5000};
     /// Time within which a change of the configuration comes into force.
     Base::Milliseconds configurationBound{2000};
-    /// Time within which a server that announces that it leaves gets no new requests.
+    /// Time after which a server that announces that it leaves gets no new requests any more.
     Base::Milliseconds leavingBound{2000};
     Routing::RetryAllowance retries;
     /// Limit of log lines about requests a second; failures have twice as many in addition. 0 turns
@@ -54,7 +55,7 @@
     /// Parses the \a text of a settings file, which may be arbitrary bytes. Fails with
     /// Settings::SettingsFaults, which lists every fault of the text.
     static Base::Result<GatewaySettings> parse(std::string_view text);
-    /// Whether \a text holds settings of a gateway, and not of a router.
+    /// Whether \a text holds settings of a gateway, and not of a router with its own platform.
     static bool isGatewayText(std::string_view text);
 };
 
