--- a/src/libs/gateway/gatewaymetrics.h
+++ b/src/libs/gateway/gatewaymetrics.h
@@ -28,6 +28,7 @@
 struct GatewayState
 {
     std::size_t openRequests = 0;
+    /// Requests that wait for a server.
     std::size_t waitingWork = 0;
     std::size_t liveHosts = 1;
     std::size_t servers = 0;
@@ -35,10 +36,12 @@
     /// Time since the configuration was confirmed to be current; empty if it never was.
     std::optional<Base::Duration> proofAge;
     bool isReady = false;
+    /// Whether this host reads the store for its availability zone.
     bool isStoreReader = false;
     std::uint64_t droppedLogLines = 0;
     /// Entries of servers in the store that this host could not parse at its last reading.
     std::size_t unreadableEntries = 0;
+    /// Factor by which this host's work takes longer than estimated.
     double costFactor = 1;
     /// Time since the start of the process during which work was left to do.
     Base::Duration busyTime{};
--- a/src/libs/gateway/httplistener.h
+++ b/src/libs/gateway/httplistener.h
@@ -35,7 +35,8 @@
 private:
     HttpListener(boost::asio::io_context &io, const ConnectionContext &context);
     void accept();
-    /// Returns false if no connection is pending, or if the process has no file descriptor left.
+    /// Returns false if no connection is pending, or if the process has no file descriptor
+    /// or memory left.
     bool acceptOne();
 
     boost::asio::io_context *m_io;
