--- a/tests/auto/gateway/tst_storeclient.cpp
+++ b/tests/auto/gateway/tst_storeclient.cpp
@@ -132,7 +132,7 @@
     CHECK(fixture.listener.wasStoreLost);
 }
 
-TEST_CASE("a host for which another one reads reads the servers again after a failed watch",
+TEST_CASE("a host that no longer reads for itself reads the servers once more after a failed watch",
           "[gateway]")
 {
     // A host loses the store while it reads for itself, and another host takes over. Its servers
