--- a/src/libs/gateway/backendpool.cpp
+++ b/src/libs/gateway/backendpool.cpp
@@ -67,7 +67,7 @@
     }
 }
 
-void BackendPool::forget(const Base::ServerId &server)
+void BackendPool::closeIdleConnections(const Base::ServerId &server)
 {
     const auto pooled = m_connections.find(server.value());
     if (pooled == m_connections.end())
--- a/src/libs/gateway/backendpool.h
+++ b/src/libs/gateway/backendpool.h
@@ -37,12 +37,12 @@
     std::shared_ptr<BackendConnection> send(SendParameters parameters, BackendListener &listener,
                                             Base::TimePoint now);
     /// Sets how many connections this host may have to each server.
-    void setLimit(std::size_t limit) { m_limit = limit; }
+    void setConnectionLimit(std::size_t limit) { m_limit = limit; }
     /// Closes idle connections whose keep-alive has expired and fails connection attempts that have
     /// timed out.
     void checkTime(Base::TimePoint now);
     /// Closes the idle connections to \a server, which has gone.
-    void forget(const Base::ServerId &server);
+    void closeIdleConnections(const Base::ServerId &server);
 
     void connectionIdle(BackendConnection &connection) override;
     void connectionClosed(BackendConnection &connection) override;
--- a/src/libs/gateway/eventlog.h
+++ b/src/libs/gateway/eventlog.h
@@ -52,14 +52,14 @@
     /// ordinary day.
     EventLog(int descriptor, unsigned requestLinesPerSecond);
 
-    void setRequestLines(unsigned perSecond) { m_requestLinesPerSecond = perSecond; }
+    void setRequestLineLimit(unsigned perSecond) { m_requestLinesPerSecond = perSecond; }
     /// Writes a line, without a limit a second; it is dropped only if the buffer is full. For
     /// events that change the state of the process.
     void write(const LogLine &line, Base::TimePoint now);
     /// Counts one line about a request against the limit a second, which is larger for failures.
     /// Returns false if the limit is reached; the line then counts as dropped and need not be
     /// built, which would take about a tenth of the processor time of a refused request.
-    bool takesRequest(bool isFailure, Base::TimePoint now);
+    bool tryAcquireRequestLine(bool isFailure, Base::TimePoint now);
     /// Writes as much of the buffer as the descriptor accepts. To be called often.
     void flush();
 
--- a/src/libs/gateway/eventsplitter.cpp
+++ b/src/libs/gateway/eventsplitter.cpp
@@ -44,9 +44,9 @@
 
 } // namespace
 
-WholeEvents EventSplitter::push(std::string_view data)
+CompleteEvents EventSplitter::push(std::string_view data)
 {
-    WholeEvents complete;
+    CompleteEvents complete;
     m_partialEvent.append(data);
     std::string_view remaining = m_partialEvent;
     for (std::size_t end = endOfEvent(remaining); end != std::string_view::npos;
@@ -58,7 +58,7 @@
     return complete;
 }
 
-void EventSplitter::appendEvent(std::string_view event, WholeEvents &complete)
+void EventSplitter::appendEvent(std::string_view event, CompleteEvents &complete)
 {
     const std::optional<std::uint64_t> id = eventId(event);
     if (id && m_lastId && *id <= *m_lastId)
--- a/src/libs/gateway/eventsplitter.h
+++ b/src/libs/gateway/eventsplitter.h
@@ -8,7 +8,7 @@
 namespace Gateway {
 
 /// The complete events found in a stream's bytes.
-struct WholeEvents
+struct CompleteEvents
 {
     std::string text;
     std::size_t count = 0;
@@ -28,15 +28,15 @@
     {}
 
     /// Adds \a data and returns the events that it completes.
-    WholeEvents push(std::string_view data);
+    CompleteEvents push(std::string_view data);
     /// Discards an incomplete event, since another server starts with a complete one.
-    void restart() { m_partialEvent.clear(); }
+    void discardPartialEvent() { m_partialEvent.clear(); }
 
     std::optional<std::uint64_t> lastId() const { return m_lastId; }
-    bool hasRest() const { return !m_partialEvent.empty(); }
+    bool hasPartialEvent() const { return !m_partialEvent.empty(); }
 
 private:
-    void appendEvent(std::string_view event, WholeEvents &complete);
+    void appendEvent(std::string_view event, CompleteEvents &complete);
 
     std::string m_partialEvent;
     std::optional<std::uint64_t> m_lastId;
--- a/src/libs/gateway/failure.h
+++ b/src/libs/gateway/failure.h
@@ -10,16 +10,16 @@
 
 /// Why the gateway itself answers a request. failureName() is the name that callers see.
 enum class FailureType {
-    NotReady,     ///< There is no configuration yet, or none that is confirmed to be current.
-    NoRoute,      ///< No route matches the host name and path.
-    UnknownKey,   ///< The key belongs to no customer.
-    BadRequest,   ///< A required field is missing or malformed.
-    TurnedAway,   ///< No capacity becomes free in time.
-    NoServer,     ///< No server of the service is known or reachable.
-    ServerFailed, ///< A server failed, or its answer was lost, and no further attempt is allowed.
-    TimedOut,     ///< The route's timeout or the caller's deadline has passed.
-    ShuttingDown, ///< This host shuts down; another one can serve the request.
-    HostBehind,   ///< This host's processor is overloaded.
+    NotReady,       ///< There is no configuration yet, or none that is confirmed to be current.
+    NoRoute,        ///< No route matches the host name and path.
+    UnknownKey,     ///< The key belongs to no customer.
+    BadRequest,     ///< A required field is missing or malformed.
+    TurnedAway,     ///< No capacity becomes free in time.
+    NoServer,       ///< No server of the service is known or reachable.
+    ServerFailed,   ///< A server failed, or its answer was lost, and no further attempt is allowed.
+    TimedOut,       ///< The route's timeout or the caller's deadline has passed.
+    ShuttingDown,   ///< This host shuts down; another one can serve the request.
+    HostOverloaded, ///< This host's processor is overloaded.
 };
 
 /// A final answer that the gateway itself gives to a request.
--- a/src/libs/gateway/gatewaymetrics.h
+++ b/src/libs/gateway/gatewaymetrics.h
@@ -56,10 +56,10 @@
 
     void requestEnded(const EndedRequest &request);
     void attemptFailed(const std::string &outcome);
-    void repeatAsked(bool isGranted);
-    void storeAnswered(const std::string &call, bool isGood);
+    void retryRequested(bool isGranted);
+    void storeCallFinished(const std::string &call, bool isGood);
     /// Sets the gauges to the values of \a state.
-    void show(const GatewayState &state);
+    void updateGauges(const GatewayState &state);
     /// Returns all metrics in Prometheus's text exposition format.
     std::string text() { return m_registry.text(); }
 
--- a/src/libs/gateway/httptext.h
+++ b/src/libs/gateway/httptext.h
@@ -30,7 +30,7 @@
     /// Replaces the caller's value; if empty, the caller's value is kept.
     std::string lastEventId;
     /// Whether the Authorization field, which holds the caller's key, is removed.
-    bool dropsKey = true;
+    bool dropsAuthorization = true;
 };
 
 /// Serializes \a request for a server. Method, target and body are unchanged, hop-by-hop fields are
--- a/src/libs/gateway/requestexaminer.cpp
+++ b/src/libs/gateway/requestvalidator.cpp
@@ -1,4 +1,4 @@
-#include "gateway/requestexaminer.h"
+#include "gateway/requestvalidator.h"
 
 #include "base/hash.h"
 #include "gateway/promptfields.h"
@@ -29,8 +29,8 @@
 
 } // namespace
 
-std::optional<Failure> RequestExaminer::examine(AcceptedRequest &accepted,
-                                                const ExaminedWith &context) const
+std::optional<Failure> RequestValidator::validate(AcceptedRequest &accepted,
+                                                  const ValidationContext &context) const
 {
     // A process that has just started knows no routes yet, and must not answer 404 or 401.
     if (!context.table || !context.areServersKnown)
@@ -55,8 +55,8 @@
     return std::nullopt;
 }
 
-std::optional<Failure> RequestExaminer::identifyCustomer(AcceptedRequest &accepted,
-                                                         const ExaminedWith &context) const
+std::optional<Failure> RequestValidator::identifyCustomer(AcceptedRequest &accepted,
+                                                          const ValidationContext &context) const
 {
     if (!context.table->needsKey(*accepted.route))
         return std::nullopt;
@@ -71,7 +71,7 @@
     return std::nullopt;
 }
 
-void RequestExaminer::describeWork(AcceptedRequest &accepted) const
+void RequestValidator::describeWork(AcceptedRequest &accepted) const
 {
     const Request &message = accepted.request.message;
     const Base::TimePoint readAt = accepted.request.readAt;
--- a/src/libs/gateway/requestexaminer.h
+++ b/src/libs/gateway/requestvalidator.h
@@ -11,7 +11,7 @@
 namespace Gateway {
 
 /// State of this host against which a request is validated.
-struct ExaminedWith
+struct ValidationContext
 {
     /// Null before the first configuration.
     std::shared_ptr<const Routing::RouteTable> table;
@@ -25,21 +25,22 @@
 
 /// Validates a request against the configuration and fills in its route, customer, service and
 /// the description of its work that scheduling and placement need.
-class RequestExaminer
+class RequestValidator
 {
 public:
     /// \a names must outlive this object.
-    explicit RequestExaminer(const HeaderNames &names)
+    explicit RequestValidator(const HeaderNames &names)
         : m_names(&names)
     {}
 
     /// Completes \a accepted, in which the caller has set the id and the request. Returns the
     /// failure to answer at once; empty if the request was accepted.
-    std::optional<Failure> examine(AcceptedRequest &accepted, const ExaminedWith &context) const;
+    std::optional<Failure> validate(AcceptedRequest &accepted,
+                                    const ValidationContext &context) const;
 
 private:
     std::optional<Failure> identifyCustomer(AcceptedRequest &accepted,
-                                            const ExaminedWith &context) const;
+                                            const ValidationContext &context) const;
     void describeWork(AcceptedRequest &accepted) const;
 
     const HeaderNames *m_names;
--- a/src/libs/gateway/settingswatcher.h
+++ b/src/libs/gateway/settingswatcher.h
@@ -18,7 +18,7 @@
 
     /// Returns the settings if the file has changed since the last call or the construction, else
     /// an empty value. Fails with Settings::SettingsFaults.
-    Base::Result<std::optional<GatewaySettings>> changed();
+    Base::Result<std::optional<GatewaySettings>> readIfChanged();
 
 private:
     std::string m_file;
--- a/src/libs/gateway/storeclient.cpp
+++ b/src/libs/gateway/storeclient.cpp
@@ -144,7 +144,7 @@
 void StoreClient::takeConfiguration(const ConfigurationReading &reading, const std::string &text,
                                     Base::TimePoint askedAt, bool isWatch)
 {
-    m_listener->storeAnswered("configuration", true);
+    m_listener->storeCallFinished("configuration", true);
     m_watchPause.reset();
     logAvailabilityChange(m_isWatchAvailable, true, "configuration", "");
     // An answer from an older state of the store than one already seen confirms nothing and must
@@ -176,7 +176,7 @@
 
 void StoreClient::configurationFailed(const char *why, FailureScope scope)
 {
-    m_listener->storeAnswered("configuration", false);
+    m_listener->storeCallFinished("configuration", false);
     logAvailabilityChange(m_isWatchAvailable, false, "configuration", why);
     // A reading is answered at once, while a watch is held by the store: the store's return is
     // noticed sooner.
@@ -198,9 +198,9 @@
     m_nextWatch = bootTimeNow() + (isProbe ? probeInterval : pauseAfterFailure(m_watchPause));
 }
 
-Base::Duration StoreClient::pauseAfterFailure(Routing::RetryPause &pause) const
+Base::Duration StoreClient::pauseAfterFailure(Routing::ExponentialBackoff &pause) const
 {
-    return pause.next(m_readerRole == Duty::ForZone ? maxRetryPauseForZone : maxRetryPause);
+    return pause.next(m_readerRole == ReaderRole::ForZone ? maxRetryPauseForZone : maxRetryPause);
 }
 
 void StoreClient::readServers(Base::TimePoint now)
@@ -224,7 +224,7 @@
         [&]() -> Base::Result<void> {
             BOOST_LEAF_AUTO(reading, m_protocol->servers(*answer));
             m_nextServerReading = askedAt + m_intervals.serverInterval;
-            m_listener->storeAnswered("servers", true);
+            m_listener->storeCallFinished("servers", true);
             m_readPause.reset();
             logAvailabilityChange(m_isReadAvailable, true, "servers", "");
             if (reading.storeVersion < m_serversVersion) {
@@ -246,7 +246,7 @@
             // for as long as it is in the store.
             if (std::exchange(m_unreadableEntries, m_pendingUnreadableEntries)
                 != m_pendingUnreadableEntries)
-                m_listener->unreadableChanged(m_unreadableEntries);
+                m_listener->unreadableEntriesChanged(m_unreadableEntries);
             m_listener->serversRead(m_pendingServers, askedAt);
             return {};
         },
@@ -259,7 +259,7 @@
 
 void StoreClient::serversFailed(const char *why, FailureScope scope)
 {
-    m_listener->storeAnswered("servers", false);
+    m_listener->storeCallFinished("servers", false);
     logAvailabilityChange(m_isReadAvailable, false, "servers", why);
     m_continueFrom.clear();
     if (scope == FailureScope::Connection) {
@@ -287,7 +287,8 @@
     const bool isFirst = m_nextHostReading == Base::TimePoint{};
     // In a large fleet, a host that gets reports from the leader of its zone learns of all other
     // hosts from them.
-    const bool findsHosts = isFirst || m_isHostDiscoveryEnabled || m_readerRole == Duty::ForZone;
+    const bool findsHosts =
+        isFirst || m_isHostDiscoveryEnabled || m_readerRole == ReaderRole::ForZone;
     if (now >= m_nextHostReading && findsHosts) {
         m_nextHostReading = now + (isFirst ? firstHostReadInterval : hostReadInterval);
         m_readClient->call(m_protocol->readHosts(), readTimeout, now, done);
@@ -296,7 +297,7 @@
     if (now < m_nextHostWriting || m_storeTime == Base::Milliseconds(0))
         return false;
     if (m_rowsToWrite.empty())
-        m_rowsToWrite = m_listener->rowsToKeep();
+        m_rowsToWrite = m_listener->rowsToRefresh();
     if (m_rowsToWrite.empty()) {
         m_nextHostWriting = now + hostWriteCheckInterval;
         return false;
@@ -326,7 +327,7 @@
 
 void StoreClient::hostsAnswered(const std::optional<HttpAnswer> &answer)
 {
-    m_listener->storeAnswered("hosts", answer.has_value());
+    m_listener->storeCallFinished("hosts", answer.has_value());
     if (!answer) {
         m_nextHostReading = bootTimeNow() + m_hostPause.next();
         return;
--- a/src/libs/gateway/storeclient.h
+++ b/src/libs/gateway/storeclient.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "base/time.h"
-#include "gateway/httplane.h"
+#include "gateway/httpclient.h"
+#include "gateway/storeintervals.h"
 #include "gateway/storeprotocol.h"
-#include "gateway/storetimes.h"
-#include "routing/retrypause.h"
+#include "routing/exponentialbackoff.h"
 #include "routing/routetable.h"
 
 #include <memory>
@@ -35,13 +35,13 @@
     /// meanwhile although their servers run.
     virtual void storeFailed() = 0;
     /// The set of server entries that cannot be parsed has changed to \a entries.
-    virtual void unreadableChanged(const std::set<std::string> &entries) = 0;
+    virtual void unreadableEntriesChanged(const std::set<std::string> &entries) = 0;
     /// A call ended; \a call is its name in metrics.
-    virtual void storeAnswered(const char *call, bool isGood) = 0;
+    virtual void storeCallFinished(const char *call, bool isGood) = 0;
     /// The rows of gateway hosts were read.
     virtual void hostsRead(const std::vector<HostRow> &hosts) = 0;
     /// The host rows that this host rewrites before they expire; empty if another host does that.
-    virtual std::vector<HostRow> rowsToKeep() const = 0;
+    virtual std::vector<HostRow> rowsToRefresh() const = 0;
 };
 
 /// Reads the platform's store: the configuration, the entries of the backend servers and the rows
@@ -65,7 +65,7 @@
 class StoreClient
 {
 public:
-    enum class Duty {
+    enum class ReaderRole {
         None,    ///< Another host reads the store for this one.
         Self,    ///< This host reads for itself, since no other has done so recently.
         ForZone, ///< This host reads for all hosts of its availability zone.
@@ -78,12 +78,12 @@
 
     /// Starts the calls that are due. To be called every few tens of milliseconds.
     void advance(Base::TimePoint now);
-    void setDuty(Duty role) { m_readerRole = role; }
-    void setTimes(const StoreTimes &intervals) { m_intervals = intervals; }
+    void setReaderRole(ReaderRole role) { m_readerRole = role; }
+    void setIntervals(const StoreIntervals &intervals) { m_intervals = intervals; }
     /// Whether a host that does not read for its zone still polls the rows of hosts.
-    void setFindsHosts(bool isEnabled) { m_isHostDiscoveryEnabled = isEnabled; }
+    void setHostDiscoveryEnabled(bool isEnabled) { m_isHostDiscoveryEnabled = isEnabled; }
     /// While reads are deferred, only the rows of hosts are read and written.
-    void setHeld(bool isDeferred) { m_areReadsDeferred = isDeferred; }
+    void setReadsDeferred(bool isDeferred) { m_areReadsDeferred = isDeferred; }
     /// Whether the last call for the configuration failed.
     bool isLost() const { return !m_isWatchAvailable; }
     /// Whether the store has answered that there is no configuration yet.
@@ -126,8 +126,8 @@
     bool syncHostRows(Base::TimePoint now);
     void writeHosts(Base::TimePoint now);
     void hostsAnswered(const std::optional<HttpAnswer> &answer);
-    bool isReading() const { return m_readerRole != Duty::None; }
-    Base::Duration pauseAfterFailure(Routing::RetryPause &pause) const;
+    bool isReading() const { return m_readerRole != ReaderRole::None; }
+    Base::Duration pauseAfterFailure(Routing::ExponentialBackoff &pause) const;
     void logAvailabilityChange(bool &isGood, bool isGoodNow, const char *what, const char *why);
 
     const StoreProtocol *m_protocol;
@@ -142,8 +142,8 @@
     /// Highest version of the store in an answer about the configuration.
     std::uint64_t m_newestVersion = 0;
     std::uint64_t m_configurationVersion = 0;
-    StoreTimes m_intervals;
-    Duty m_readerRole = Duty::Self;
+    StoreIntervals m_intervals;
+    ReaderRole m_readerRole = ReaderRole::Self;
     bool m_areReadsDeferred = false;
     bool m_isHostDiscoveryEnabled = true;
     bool m_needsReading = true;
@@ -159,9 +159,9 @@
     std::string m_continueFrom;
     std::uint64_t m_serversVersion = 0;
     Base::TimePoint m_nextServerReading{};
-    Routing::RetryPause m_watchPause;
-    Routing::RetryPause m_readPause;
-    Routing::RetryPause m_hostPause;
+    Routing::ExponentialBackoff m_watchPause;
+    Routing::ExponentialBackoff m_readPause;
+    Routing::ExponentialBackoff m_hostPause;
 
     /// Last known time of the store's clock, and the local time at which it was received.
     Base::Milliseconds m_storeTime{0};
--- a/src/libs/gateway/knowledgecopy.h
+++ b/src/libs/gateway/storecopy.h
@@ -11,10 +11,10 @@
 namespace Gateway {
 
 /// The kinds of store data of which hosts fetch copies from each other.
-enum class Knowledge : std::uint8_t { Configuration, Servers };
+enum class StoreData : std::uint8_t { Configuration, Servers };
 
 /// HTTP path of \a what at a host's peer address.
-const char *copyPath(Knowledge what);
+const char *copyPath(StoreData what);
 
 /// Copy of the configuration that a host has in force.
 struct ConfigurationCopy
@@ -38,10 +38,10 @@
 /// Provides the copies of store data that this host hands to other hosts. A copy is empty while
 /// this host has no such data, or none that was confirmed recently; the host that asked then has to
 /// read the store.
-class KnowledgeSource
+class StoreCopySource
 {
 public:
-    virtual ~KnowledgeSource() = default;
+    virtual ~StoreCopySource() = default;
     virtual std::optional<ConfigurationCopy> configurationCopy() const = 0;
     /// A report that lists every usable server as a change of the kind "found".
     virtual std::optional<HostReport> serversCopy() const = 0;
--- a/src/libs/gateway/knowledgeclient.cpp
+++ b/src/libs/gateway/storecopyclient.cpp
@@ -1,4 +1,4 @@
-#include "gateway/knowledgeclient.h"
+#include "gateway/storecopyclient.h"
 
 #include "gateway/boottime.h"
 #include "gateway/eventlog.h"
@@ -20,21 +20,21 @@
 
 } // namespace
 
-KnowledgeClient::KnowledgeClient(boost::asio::io_context &io, KnowledgeListener &listener,
+StoreCopyClient::StoreCopyClient(boost::asio::io_context &io, StoreCopyListener &listener,
                                  EventLog &log)
     : m_io(&io)
     , m_listener(&listener)
     , m_log(&log)
 {}
 
-void KnowledgeClient::want(Knowledge what, const std::string &peerAddress)
+void StoreCopyClient::requestCopy(StoreData what, const std::string &peerAddress)
 {
     PendingCopy &pending = m_pendingCopies[what];
     pending.isRequested = true;
     pending.peerAddress = peerAddress;
 }
 
-void KnowledgeClient::advance(Base::TimePoint now)
+void StoreCopyClient::advance(Base::TimePoint now)
 {
     if (m_client)
         m_client->checkTime(now);
@@ -46,7 +46,7 @@
     }
 }
 
-void KnowledgeClient::sendRequest(Knowledge what, PendingCopy &pending, Base::TimePoint now)
+void StoreCopyClient::sendRequest(StoreData what, PendingCopy &pending, Base::TimePoint now)
 {
     pending.isRequested = false;
     pending.earliestAt = now + copyInterval;
@@ -65,7 +65,7 @@
                    });
 }
 
-void KnowledgeClient::answerReceived(Knowledge what, const std::optional<HttpAnswer> &answer,
+void StoreCopyClient::answerReceived(StoreData what, const std::optional<HttpAnswer> &answer,
                                      Base::TimePoint askedAt)
 {
     if (!answer || answer->status != 200) {
@@ -74,7 +74,7 @@
     }
     boost::leaf::try_handle_all(
         [&]() -> Base::Result<void> {
-            if (what == Knowledge::Configuration) {
+            if (what == StoreData::Configuration) {
                 BOOST_LEAF_AUTO(copy, decodeCopy(answer->body));
                 m_listener->configurationCopied(copy, askedAt);
                 return {};
@@ -86,7 +86,7 @@
         [&] { reportFailure(what, "malformed"); });
 }
 
-void KnowledgeClient::reportFailure(Knowledge what, const char *why)
+void StoreCopyClient::reportFailure(StoreData what, const char *why)
 {
     m_log->write(LogLine("copy.failed")
                      .add("what", copyPath(what) + 1)
--- a/src/libs/gateway/knowledgeclient.h
+++ b/src/libs/gateway/storecopyclient.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "base/time.h"
-#include "gateway/httplane.h"
-#include "gateway/knowledgecopy.h"
+#include "gateway/httpclient.h"
+#include "gateway/storecopy.h"
 
 #include <map>
 #include <memory>
@@ -13,15 +13,15 @@
 class EventLog;
 
 /// Receives the copies of store data that a StoreCopyClient fetches from another host.
-class KnowledgeListener
+class StoreCopyListener
 {
 public:
-    virtual ~KnowledgeListener() = default;
+    virtual ~StoreCopyListener() = default;
     /// \a askedAt is when the request to the other host was sent.
     virtual void configurationCopied(const ConfigurationCopy &copy, Base::TimePoint askedAt) = 0;
     virtual void serversCopied(const HostReport &report, Base::TimePoint askedAt) = 0;
     /// No usable answer came in time; the data have to be read from the store instead.
-    virtual void copyFailed(Knowledge what) = 0;
+    virtual void copyFailed(StoreData what) = 0;
 };
 
 /// Fetches copies of the configuration and of the list of backend servers from another host of the
@@ -32,15 +32,15 @@
 /// hosts, and a host that the store refuses would not get a configuration that its neighbours have.
 /// Copies from a neighbour put no load on the store: without them, 1,900 of the 3,500 store calls
 /// that 195 hosts made up to 6 s after the beginning of a load were readings of the configuration.
-class KnowledgeClient
+class StoreCopyClient
 {
 public:
     /// The arguments must outlive the client.
-    KnowledgeClient(boost::asio::io_context &io, KnowledgeListener &listener, EventLog &log);
+    StoreCopyClient(boost::asio::io_context &io, StoreCopyListener &listener, EventLog &log);
 
     /// Schedules a request for \a what to the host at \a peerAddress. Requests for the same data
     /// are merged until advance() sends one.
-    void want(Knowledge what, const std::string &peerAddress);
+    void requestCopy(StoreData what, const std::string &peerAddress);
     /// Sends the requests that are due. To be called every few tens of milliseconds.
     void advance(Base::TimePoint now);
 
@@ -52,15 +52,15 @@
         Base::TimePoint earliestAt{};
     };
 
-    void sendRequest(Knowledge what, PendingCopy &pending, Base::TimePoint now);
-    void answerReceived(Knowledge what, const std::optional<HttpAnswer> &answer,
+    void sendRequest(StoreData what, PendingCopy &pending, Base::TimePoint now);
+    void answerReceived(StoreData what, const std::optional<HttpAnswer> &answer,
                         Base::TimePoint askedAt);
-    void reportFailure(Knowledge what, const char *why);
+    void reportFailure(StoreData what, const char *why);
 
     boost::asio::io_context *m_io;
-    KnowledgeListener *m_listener;
+    StoreCopyListener *m_listener;
     EventLog *m_log;
-    std::map<Knowledge, PendingCopy> m_pendingCopies;
+    std::map<StoreData, PendingCopy> m_pendingCopies;
     std::shared_ptr<HttpClient> m_client;
     std::string m_clientAddress;
 };
--- a/src/libs/gateway/knowledgehandler.h
+++ b/src/libs/gateway/storecopyhandler.h
@@ -1,24 +1,24 @@
 #pragma once
 
 #include "gateway/answersink.h"
-#include "gateway/knowledgecopy.h"
+#include "gateway/storecopy.h"
 
 namespace Gateway {
 
 /// Serves copies of this host's store data to other hosts. Answers 503 while this host has no
 /// recently confirmed data, and 404 for unknown paths.
-class KnowledgeHandler final : public RequestHandler
+class StoreCopyHandler final : public RequestHandler
 {
 public:
     /// \a source must outlive the handler.
-    explicit KnowledgeHandler(const KnowledgeSource &source)
+    explicit StoreCopyHandler(const StoreCopySource &source)
         : m_source(&source)
     {}
 
     std::shared_ptr<ActiveRequest> handle(CallerRequest request, AnswerSink &sink) override;
 
 private:
-    const KnowledgeSource *m_source;
+    const StoreCopySource *m_source;
 };
 
 } // namespace Gateway
--- a/tests/auto/gateway/tst_storeclient.cpp
+++ b/tests/auto/gateway/tst_storeclient.cpp
@@ -1,8 +1,8 @@
+#include "fakestore.h"
 #include "gateway/boottime.h"
 #include "gateway/eventlog.h"
 #include "gateway/httplistener.h"
 #include "gateway/storeclient.h"
-#include "plainstore.h"
 
 #include <catch2/catch.hpp>
 
@@ -36,10 +36,10 @@
         ++serverReadings;
     }
     void storeFailed() override { isStoreLost = true; }
-    void unreadableChanged(const std::set<std::string> &) override {}
-    void storeAnswered(const char *, bool) override {}
+    void unreadableEntriesChanged(const std::set<std::string> &) override {}
+    void storeCallFinished(const char *, bool) override {}
     void hostsRead(const std::vector<HostRow> &) override {}
-    std::vector<HostRow> rowsToKeep() const override { return rows; }
+    std::vector<HostRow> rowsToRefresh() const override { return rows; }
 
     std::vector<HostRow> rows;
     int configurations = 0;
@@ -95,11 +95,11 @@
     boost::asio::io_context m_io;
 
 public:
-    PlainStore store;
+    FakeStore store;
     Listener listener;
 
 private:
-    PlainProtocol m_protocol;
+    FakeStoreProtocol m_protocol;
     ConnectionLimits m_limits;
     std::string m_buffer = std::string(65536, '\0');
     int m_nullDescriptor;
@@ -120,7 +120,7 @@
     // during it. If only a failed reading of the servers reports the outage, the entries that the
     // next reading lacks count as servers that are gone.
     StoreFixture fixture;
-    fixture.client->setDuty(StoreClient::Duty::ForZone);
+    fixture.client->setReaderRole(StoreClient::ReaderRole::ForZone);
     REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 1; }));
     CHECK_FALSE(fixture.listener.wasStoreLost);
     fixture.store.refused["/watch"] = true;
@@ -138,12 +138,12 @@
     // A host loses the store while it reads for itself, and another host takes over. Its servers
     // must not count as unconfirmed for ever, since it could then never lead its zone again.
     StoreFixture fixture;
-    fixture.client->setDuty(StoreClient::Duty::Self);
+    fixture.client->setReaderRole(StoreClient::ReaderRole::Self);
     REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 1; }));
     fixture.store.refused["/watch"] = true;
     REQUIRE(fixture.runUntil([&] { return fixture.listener.isStoreLost; }));
     fixture.store.refused.clear();
-    fixture.client->setDuty(StoreClient::Duty::None);
+    fixture.client->setReaderRole(StoreClient::ReaderRole::None);
     CHECK(fixture.runUntil([&] { return !fixture.listener.isStoreLost; }));
 }
 
@@ -156,7 +156,7 @@
     // of them suffices to notice that the store accepts calls again.
     StoreFixture fixture;
     fixture.listener.rows = {HostRow{}};
-    fixture.client->setDuty(StoreClient::Duty::Self);
+    fixture.client->setReaderRole(StoreClient::ReaderRole::Self);
     REQUIRE(fixture.runUntil([&] { return fixture.store.calls["/row"] == 1; }));
     for (const char *path : {"/watch", "/configuration", "/servers", "/hosts", "/row"})
         fixture.store.refused[path] = true;
@@ -178,7 +178,7 @@
 TEST_CASE("an answer from an older state of the store confirms nothing", "[gateway]")
 {
     StoreFixture fixture;
-    fixture.client->setDuty(StoreClient::Duty::ForZone);
+    fixture.client->setReaderRole(StoreClient::ReaderRole::ForZone);
     REQUIRE(fixture.runUntil(
         [&] { return fixture.listener.confirmations > 0 && fixture.listener.serverReadings > 0; }));
     fixture.store.version = 6;
@@ -210,11 +210,11 @@
     // missing entries are kept for 2 s, and the next watch is held for 0.5 s before it shows that
     // the store is available. Requests then reached the server 3 s later, 1 s after the bound.
     StoreFixture fixture;
-    fixture.client->setDuty(StoreClient::Duty::ForZone);
+    fixture.client->setReaderRole(StoreClient::ReaderRole::ForZone);
     REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 1; }));
     for (const char *path : {"/watch", "/servers"}) {
         const int calls = fixture.store.calls[path];
-        fixture.store.breaksOnce[path] = true;
+        fixture.store.dropsNextCall[path] = true;
         REQUIRE(fixture.runUntil([&] { return fixture.store.calls[path] > calls; }));
         const int readings = fixture.listener.serverReadings;
         REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings > readings; }));
@@ -230,12 +230,12 @@
     // second failed call does not count as an outage, it drops the servers whose entries expired
     // meanwhile once both hosts reach the store again.
     StoreFixture fixture;
-    fixture.client->setDuty(StoreClient::Duty::ForZone);
+    fixture.client->setReaderRole(StoreClient::ReaderRole::ForZone);
     REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 1; }));
-    fixture.store.breaksOnce["/watch"] = true;
+    fixture.store.dropsNextCall["/watch"] = true;
     fixture.store.refused["/configuration"] = true;
     REQUIRE(fixture.runUntil([&] { return fixture.client->isLost(); }));
-    fixture.client->setDuty(StoreClient::Duty::None);
+    fixture.client->setReaderRole(StoreClient::ReaderRole::None);
     CHECK(fixture.runUntil([&] { return fixture.listener.isStoreLost; }, seconds(1)));
     fixture.store.refused.clear();
     REQUIRE(fixture.runUntil([&] { return fixture.listener.serverReadings == 2; }));
