--- a/src/libs/gateway/storecopyhandler.cpp
+++ b/src/libs/gateway/storecopyhandler.cpp
@@ -27,9 +27,9 @@
 std::shared_ptr<ActiveRequest> StoreCopyHandler::handle(CallerRequest request, AnswerSink &sink)
 {
     const std::string path(request.message.target());
-    if (path == pathOf(StoreData::Configuration))
+    if (path == copyPath(StoreData::Configuration))
         answerCopy(sink, m_source->configurationCopy(), encodeCopy);
-    else if (path == pathOf(StoreData::Servers))
+    else if (path == copyPath(StoreData::Servers))
         answerCopy(sink, m_source->serversCopy(), encodeReport);
     else
         answer(sink, Http::status::not_found, {});
