--- a/src/libs/gateway/fleetview.cpp
+++ b/src/libs/gateway/fleetview.cpp
@@ -11,33 +11,33 @@
 
 /// Reports come five times a second; three and more in a row are not lost by chance, and a host
 /// that is down must leave the list before many callers try it.
-constexpr Base::Duration aliveFor = std::chrono::milliseconds(1400);
+constexpr Base::Duration livenessTimeout = std::chrono::milliseconds(1400);
 /// A host that is down or cut off is sent reports for this long after it was last heard of or
 /// listed in the store.
-constexpr Base::Duration reportFor = std::chrono::seconds(45);
+constexpr Base::Duration receiverTimeout = std::chrono::seconds(45);
 /// How old an answer to the question who leads may be.
-constexpr Base::Duration leaderInterval = std::chrono::milliseconds(100);
+constexpr Base::Duration leaderCacheTime = std::chrono::milliseconds(100);
 /// For so long after a change that decides who leads, all hosts are told of it and not only the
 /// leader: three reports, of which one or two may be lost.
-constexpr Base::Duration announceFor = std::chrono::milliseconds(600);
+constexpr Base::Duration announcePeriod = std::chrono::milliseconds(600);
 /// Sums are used for this long after they were told. A leader is silent for aliveFor before another
 /// host leads, and that one gathers reports before it tells sums.
-constexpr Base::Duration summaryFor = std::chrono::milliseconds(3500);
+constexpr Base::Duration summaryLifetime = std::chrono::milliseconds(3500);
 /// After a leader fell silent, the next host by name has this long to be heard of before the one
 /// after it leads.
-constexpr Base::Duration turnFor = std::chrono::milliseconds(600);
+constexpr Base::Duration successorTimeout = std::chrono::milliseconds(600);
 /// A host that begins to lead hears its zone for this long before it tells sums: three
 /// reports of each host and each other leader, of which one or two may be lost.
-constexpr Base::Duration gatherFor = std::chrono::milliseconds(800);
+constexpr Base::Duration gatherPeriod = std::chrono::milliseconds(800);
 /// Reports of one's own that are remembered: an echo comes within a second.
-constexpr std::size_t mostSent = 24;
+constexpr std::size_t maxSentReports = 24;
 /// Uses of prompt parts that a leader keeps for its next report: some ten kilobytes.
-constexpr std::size_t mostPassedOn = 400;
+constexpr std::size_t maxRelayedUses = 400;
 
 void appendUses(std::vector<Routing::PartUse> &to, const std::vector<Routing::PartUse> &uses)
 {
-    const std::size_t room = mostPassedOn - std::min(mostPassedOn, to.size());
-    const auto end = uses.begin() + static_cast<std::ptrdiff_t>(std::min(room, uses.size()));
+    const std::size_t freeSlots = maxRelayedUses - std::min(maxRelayedUses, to.size());
+    const auto end = uses.begin() + static_cast<std::ptrdiff_t>(std::min(freeSlots, uses.size()));
     to.insert(to.end(), uses.begin(), end);
 }
 
@@ -83,18 +83,18 @@
 
 } // namespace
 
-void FleetView::learn(const std::vector<HostRow> &hosts, Base::TimePoint now)
+void FleetView::addHostRows(const std::vector<HostRow> &hosts, Base::TimePoint now)
 {
     for (const HostRow &row : hosts) {
         if (row.host != m_self)
-            m_receivers[row.peerAddress] = {row.zone, now + reportFor};
+            m_receivers[row.peerAddress] = {row.zone, now + receiverTimeout};
     }
 }
 
-void FleetView::learnAddress(const std::string &peerAddress, Base::TimePoint now)
+void FleetView::addAddress(const std::string &peerAddress, Base::TimePoint now)
 {
     Receiver &receiver = m_receivers[peerAddress];
-    receiver.until = now + reportFor;
+    receiver.until = now + receiverTimeout;
 }
 
 bool FleetView::receive(const HostReport &report, Base::TimePoint now)
@@ -106,10 +106,10 @@
     const auto age = [](const HostReport &of) { return std::tie(of.incarnation, of.sequence); };
     if (it != m_hosts.end() && age(report) <= age(it->second.report))
         return false;
-    m_receivers[from.peerAddress] = {from.zone, now + reportFor};
+    m_receivers[from.peerAddress] = {from.zone, now + receiverTimeout};
     for (const MemberState &member : report.members) {
         if (member.host != m_self)
-            m_receivers[member.peerAddress] = {member.zone, now + reportFor};
+            m_receivers[member.peerAddress] = {member.zone, now + receiverTimeout};
     }
     if (isLarge() && isLeader(now) && report.scope != ReportScope::Fleet) {
         appendUses(m_usesForZone, report.load.partUses);
@@ -127,31 +127,32 @@
 void FleetView::advance(Base::TimePoint now)
 {
     std::erase_if(m_receivers, [now](const auto &it) { return now >= it.second.until; });
-    std::erase_if(m_hosts, [now](const auto &it) { return now - it.second.at >= reportFor; });
-    std::erase_if(m_summaries, [now](const auto &it) { return now - it.second.at >= summaryFor; });
+    std::erase_if(m_hosts, [now](const auto &it) { return now - it.second.at >= receiverTimeout; });
+    std::erase_if(m_summaries,
+                  [now](const auto &it) { return now - it.second.at >= summaryLifetime; });
 }
 
 void FleetView::setLeaving(Base::TimePoint now)
 {
     m_isLeaving = true;
-    m_announceUntil = now + announceFor;
-    m_isLeaderAt = Base::TimePoint::min();
+    m_announceUntil = now + announcePeriod;
+    m_leaderCheckedAt = Base::TimePoint::min();
 }
 
 void FleetView::setStoreLost(bool isLost, Base::TimePoint now)
 {
     if (std::exchange(m_isStoreLost, isLost) == isLost)
         return;
-    m_announceUntil = now + announceFor;
-    m_isLeaderAt = Base::TimePoint::min();
+    m_announceUntil = now + announcePeriod;
+    m_leaderCheckedAt = Base::TimePoint::min();
 }
 
-bool FleetView::isAlive(const Heard &heard, Base::TimePoint now) const
+bool FleetView::isAlive(const ReceivedReport &latest, Base::TimePoint now) const
 {
-    return now - heard.at < aliveFor;
+    return now - latest.at < livenessTimeout;
 }
 
-bool FleetView::isHeard(const Base::HostId &host, Base::TimePoint now) const
+bool FleetView::isHeardDirectly(const Base::HostId &host, Base::TimePoint now) const
 {
     const auto it = m_hosts.find(host);
     return it != m_hosts.end() && isAlive(it->second, now);
@@ -160,20 +161,20 @@
 std::map<Base::HostId, MemberState> FleetView::liveMembers(Base::TimePoint now) const
 {
     std::map<Base::HostId, MemberState> members;
-    for (const auto &[host, heard] : m_hosts) {
-        if (isAlive(heard, now))
-            members[host] = heard.report.self;
+    for (const auto &[host, latest] : m_hosts) {
+        if (isAlive(latest, now))
+            members[host] = latest.report.self;
     }
-    std::vector<const Heard *> summaries;
-    for (const auto &[zone, heard] : zoneReports(now)) {
-        if (isAlive(*heard, now))
-            summaries.push_back(heard);
+    std::vector<const ReceivedReport *> summaries;
+    for (const auto &[zone, latest] : newestZoneReports(now)) {
+        if (isAlive(*latest, now))
+            summaries.push_back(latest);
     }
-    if (const Heard *fleet = fleetReport(now))
+    if (const ReceivedReport *fleet = newestFleetReport(now))
         summaries.push_back(fleet);
     // The newest summary goes last, so that its state of a host is what remains.
-    std::ranges::sort(summaries, {}, &Heard::at);
-    for (const Heard *summary : summaries) {
+    std::ranges::sort(summaries, {}, &ReceivedReport::at);
+    for (const ReceivedReport *summary : summaries) {
         for (const MemberState &member : summary->report.members) {
             if (member.host == m_self)
                 continue;
@@ -205,14 +206,14 @@
         return std::tie(it.isStoreLost, it.host) < std::tie(m_isStoreLost, m_self);
     };
     const bool maySelfLead = zone == m_zone && !m_isLeaving;
-    const Heard *fleet = zone == m_zone ? fleetReport(now) : nullptr;
-    Base::Duration silence = fleet ? now - fleet->at - aliveFor : Base::Duration::zero();
+    const ReceivedReport *fleet = zone == m_zone ? newestFleetReport(now) : nullptr;
+    Base::Duration silence = fleet ? now - fleet->at - livenessTimeout : Base::Duration::zero();
     for (const MemberState &candidate : candidates) {
         if (maySelfLead && !isBeforeSelf(candidate))
             return std::nullopt;
         // Only a silent leader told of this one; it may be silent as well.
-        if (!isHeard(candidate.host, now) && silence >= turnFor) {
-            silence -= turnFor;
+        if (!isHeardDirectly(candidate.host, now) && silence >= successorTimeout) {
+            silence -= successorTimeout;
             continue;
         }
         return candidate;
@@ -226,14 +227,14 @@
 {
     // Asked for each tick and each report; going through all members takes tens of microseconds on
     // a large fleet, and one that falls silent is left out only after seconds.
-    if (m_isLeaderAt == Base::TimePoint::min() || now - m_isLeaderAt >= leaderInterval) {
-        m_isLeaderAt = now;
-        m_wasLeader = !leaderOf(m_zone, now);
+    if (m_leaderCheckedAt == Base::TimePoint::min() || now - m_leaderCheckedAt >= leaderCacheTime) {
+        m_leaderCheckedAt = now;
+        m_isCachedLeader = !leaderOf(m_zone, now);
     }
-    return m_wasLeader;
+    return m_isCachedLeader;
 }
 
-std::vector<std::string> FleetView::receiversOf(const Base::ZoneId &zone) const
+std::vector<std::string> FleetView::receiversIn(const Base::ZoneId &zone) const
 {
     std::vector<std::string> addresses;
     for (const auto &[address, receiver] : m_receivers) {
@@ -251,7 +252,7 @@
     return addresses;
 }
 
-std::vector<ReportOrder> FleetView::dueReports(Base::TimePoint now) const
+std::vector<DueReport> FleetView::dueReports(Base::TimePoint now) const
 {
     if (!isLarge())
         return {{ReportScope::Host, allReceivers()}};
@@ -263,12 +264,12 @@
         return {{ReportScope::Host, {leader->peerAddress}}};
     }
     // Sums of only a part of the zone would replace whole ones.
-    if (now < m_gathersUntil)
+    if (now < m_gatherUntil)
         return {{ReportScope::Host, allReceivers()}};
     std::set<Base::ZoneId> zones;
     for (const auto &[address, receiver] : m_receivers)
         zones.insert(receiver.zone);
-    ReportOrder toLeaders{ReportScope::Zone, {}};
+    DueReport toLeaders{ReportScope::Zone, {}};
     for (const Base::ZoneId &zone : zones) {
         if (zone == m_zone || zone.isEmpty())
             continue;
@@ -276,22 +277,22 @@
             toLeaders.receivers.push_back(leader->peerAddress);
             continue;
         }
-        const std::vector<std::string> all = receiversOf(zone);
+        const std::vector<std::string> all = receiversIn(zone);
         toLeaders.receivers.insert(toLeaders.receivers.end(), all.begin(), all.end());
     }
-    return {toLeaders, {ReportScope::Fleet, receiversOf(m_zone)}};
+    return {toLeaders, {ReportScope::Fleet, receiversIn(m_zone)}};
 }
 
-void FleetView::addOthers(HostReport &report, Base::TimePoint now) const
+void FleetView::addOtherHosts(HostReport &report, Base::TimePoint now) const
 {
     const bool isLeading = isLeader(now);
-    for (const auto &[host, heard] : m_hosts) {
-        if (!isAlive(heard, now) || heard.report.self.zone != m_zone)
+    for (const auto &[host, latest] : m_hosts) {
+        if (!isAlive(latest, now) || latest.report.self.zone != m_zone)
             continue;
         if (isLeading)
-            report.echoes[host] = heard.report.sequence;
-        if (report.scope != ReportScope::Host && heard.report.scope == ReportScope::Host)
-            addLoad(report.load, heard.report.load);
+            report.echoes[host] = latest.report.sequence;
+        if (report.scope != ReportScope::Host && latest.report.scope == ReportScope::Host)
+            addLoad(report.load, latest.report.load);
     }
     if (report.scope == ReportScope::Host)
         return;
@@ -304,49 +305,51 @@
     addOtherZones(report.load, now);
 }
 
-std::map<Base::ZoneId, const FleetView::Heard *> FleetView::zoneReports(Base::TimePoint now) const
+std::map<Base::ZoneId, const FleetView::ReceivedReport *>
+FleetView::newestZoneReports(Base::TimePoint now) const
 {
-    std::map<Base::ZoneId, const Heard *> newest;
-    for (const auto &[host, heard] : m_summaries) {
-        if (heard.report.scope != ReportScope::Zone || now - heard.at >= summaryFor)
+    std::map<Base::ZoneId, const ReceivedReport *> newest;
+    for (const auto &[host, latest] : m_summaries) {
+        if (latest.report.scope != ReportScope::Zone || now - latest.at >= summaryLifetime)
             continue;
-        const Heard *&ofZone = newest[heard.report.self.zone];
-        if (!ofZone || heard.at > ofZone->at)
-            ofZone = &heard;
+        const ReceivedReport *&ofZone = newest[latest.report.self.zone];
+        if (!ofZone || latest.at > ofZone->at)
+            ofZone = &latest;
     }
     return newest;
 }
 
 void FleetView::addOtherZones(Routing::HostLoad &sum, Base::TimePoint now) const
 {
-    const std::map<Base::ZoneId, const Heard *> zones = zoneReports(now);
-    for (const auto &[zone, heard] : zones) {
+    const std::map<Base::ZoneId, const ReceivedReport *> zones = newestZoneReports(now);
+    for (const auto &[zone, latest] : zones) {
         if (zone != m_zone)
-            addLoad(sum, heard->report.load);
+            addLoad(sum, latest->report.load);
     }
     // A small fleet has no leaders, and hosts that start together do not know theirs.
-    for (const auto &[host, heard] : m_hosts) {
-        const Base::ZoneId &zone = heard.report.self.zone;
+    for (const auto &[host, latest] : m_hosts) {
+        const Base::ZoneId &zone = latest.report.self.zone;
         if (zone == m_zone || zones.count(zone) > 0)
             continue;
-        if (isAlive(heard, now) && heard.report.scope == ReportScope::Host)
-            addLoad(sum, heard.report.load);
+        if (isAlive(latest, now) && latest.report.scope == ReportScope::Host)
+            addLoad(sum, latest.report.load);
     }
 }
 
-void FleetView::reported(std::uint64_t sequence, const Routing::HostLoad &load, Base::TimePoint now)
+void FleetView::recordSentReport(std::uint64_t sequence, const Routing::HostLoad &load,
+                                 Base::TimePoint now)
 {
-    m_sent.push_back({sequence, now, load});
-    if (m_sent.size() > mostSent)
-        m_sent.pop_front();
+    m_sentReports.push_back({sequence, now, load});
+    if (m_sentReports.size() > maxSentReports)
+        m_sentReports.pop_front();
 }
 
-std::optional<Base::TimePoint> FleetView::echoedAt(const HostReport &report) const
+std::optional<Base::TimePoint> FleetView::echoedSendTime(const HostReport &report) const
 {
     const auto echo = report.echoes.find(m_self);
     if (echo == report.echoes.end())
         return std::nullopt;
-    for (const Sent &it : m_sent) {
+    for (const SentReport &it : m_sentReports) {
         if (it.sequence == echo->second)
             return it.at;
     }
@@ -382,34 +385,34 @@
     return liveMembers(now).size() + 1;
 }
 
-const FleetView::Heard *FleetView::fleetReport(Base::TimePoint now) const
+const FleetView::ReceivedReport *FleetView::newestFleetReport(Base::TimePoint now) const
 {
-    const Heard *newest = nullptr;
-    for (const auto &[host, heard] : m_summaries) {
-        if (heard.report.scope != ReportScope::Fleet || now - heard.at >= summaryFor)
+    const ReceivedReport *newest = nullptr;
+    for (const auto &[host, latest] : m_summaries) {
+        if (latest.report.scope != ReportScope::Fleet || now - latest.at >= summaryLifetime)
             continue;
-        if (!newest || heard.at > newest->at)
-            newest = &heard;
+        if (!newest || latest.at > newest->at)
+            newest = &latest;
     }
     return newest;
 }
 
-bool FleetView::hearsNobodyOfZone(Base::TimePoint now) const
+bool FleetView::isCutOffFromZone(Base::TimePoint now) const
 {
     const bool isAnyHeard = std::ranges::any_of(m_hosts, [&](const auto &it) {
         return it.second.report.self.zone == m_zone && isAlive(it.second, now);
     });
-    return !isAnyHeard && !receiversOf(m_zone).empty();
+    return !isAnyHeard && !receiversIn(m_zone).empty();
 }
 
-void FleetView::updateGathering(Base::TimePoint now)
+void FleetView::updateGatherPeriod(Base::TimePoint now)
 {
-    if (!isLarge() || !isLeader(now) || hearsNobodyOfZone(now)) {
-        m_gathersUntil = now + gatherFor;
+    if (!isLarge() || !isLeader(now) || isCutOffFromZone(now)) {
+        m_gatherUntil = now + gatherPeriod;
         return;
     }
-    m_gathersUntil = std::min(m_gathersUntil, now + gatherFor);
-    if (now < m_gathersUntil)
+    m_gatherUntil = std::min(m_gatherUntil, now + gatherPeriod);
+    if (now < m_gatherUntil)
         return;
     std::erase_if(m_summaries,
                   [](const auto &it) { return it.second.report.scope == ReportScope::Fleet; });
@@ -418,30 +421,30 @@
 std::optional<Base::Duration> FleetView::newestReportAge(Base::TimePoint now) const
 {
     std::optional<Base::Duration> age;
-    for (const auto &[host, heard] : m_hosts) {
-        if (!age || now - heard.at < *age)
-            age = now - heard.at;
+    for (const auto &[host, latest] : m_hosts) {
+        if (!age || now - latest.at < *age)
+            age = now - latest.at;
     }
     return age;
 }
 
-void FleetView::sumUp(Base::TimePoint now)
+void FleetView::updateTotals(Base::TimePoint now)
 {
-    updateGathering(now);
+    updateGatherPeriod(now);
     Routing::HostLoad sum;
-    if (const Heard *fleet = fleetReport(now)) {
+    if (const ReceivedReport *fleet = newestFleetReport(now)) {
         sum = fleet->report.load;
         const auto echo = fleet->report.echoes.find(m_self);
         // The sum has this host's own work as of the report that the leader echoes.
-        for (const Sent &it : m_sent) {
+        for (const SentReport &it : m_sentReports) {
             if (echo != fleet->report.echoes.end() && it.sequence == echo->second)
                 subtractLoad(sum, it.load);
         }
     } else {
-        for (const auto &[host, heard] : m_hosts) {
-            if (isAlive(heard, now) && heard.report.self.zone == m_zone
-                && heard.report.scope == ReportScope::Host)
-                addLoad(sum, heard.report.load);
+        for (const auto &[host, latest] : m_hosts) {
+            if (isAlive(latest, now) && latest.report.self.zone == m_zone
+                && latest.report.scope == ReportScope::Host)
+                addLoad(sum, latest.report.load);
         }
         addOtherZones(sum, now);
     }
@@ -453,7 +456,7 @@
     m_others.hosts = liveHosts(now);
 }
 
-void FleetView::addPassedOn(HostReport &report)
+void FleetView::addRelayedUses(HostReport &report)
 {
     if (report.scope == ReportScope::Host)
         return;
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -107,8 +107,7 @@
                                                       {*this, m_limits, m_readBuffer}));
     for (const std::string &ip : m_settings.seeds) {
         if (ip != m_settings.peerAddress.ip)
-            m_fleet.learnAddress(toString(Settings::Address{ip, m_settings.peerAddress.port}),
-                                 now());
+            m_fleet.addAddress(toString(Settings::Address{ip, m_settings.peerAddress.port}), now());
     }
     return {};
 }
@@ -328,17 +327,17 @@
     m_entries.setCostFactor(m_backlog.costFactor());
     HostReport own = reportOfThisHost(time);
     m_services->report(own.load, time);
-    for (const ReportOrder &order : m_fleet.dueReports(time)) {
+    for (const DueReport &order : m_fleet.dueReports(time)) {
         HostReport report = own;
         report.scope = order.scope;
         report.sequence = ++m_reportSequence;
-        m_fleet.addOthers(report, time);
-        m_fleet.addPassedOn(report);
+        m_fleet.addOtherHosts(report, time);
+        m_fleet.addRelayedUses(report);
         if (order.scope == ReportScope::Host)
-            m_fleet.reported(report.sequence, own.load, time);
+            m_fleet.recordSentReport(report.sequence, own.load, time);
         m_reports->send(report, order.receivers);
     }
-    m_fleet.sumUp(time);
+    m_fleet.updateTotals(time);
     m_services->othersChanged();
     m_entries.update(m_fleet.servingMembers(time), memberOfThisHost(time), time);
     limitConnections();
--- a/src/libs/gateway/storereplica.cpp
+++ b/src/libs/gateway/storereplica.cpp
@@ -170,7 +170,7 @@
         m_copies.want(Knowledge::Servers, report.self.peerAddress);
     // The other host answered after this one's report was sent, so its question to the store was
     // sent at most the age that it tells before that moment, however long the answer was under way.
-    const std::optional<Base::TimePoint> askedAt = m_parts.fleet.echoedAt(report);
+    const std::optional<Base::TimePoint> askedAt = m_parts.fleet.echoedSendTime(report);
     if (!askedAt)
         return;
     const Base::TimePoint provedAt = *askedAt - *store.proofAge;
@@ -231,7 +231,7 @@
 
 void StoreReplica::hostsRead(const std::vector<HostRow> &hosts)
 {
-    m_parts.fleet.learn(hosts, bootTimeNow());
+    m_parts.fleet.addHostRows(hosts, bootTimeNow());
     if (isKnown() || std::exchange(m_hasReadHosts, true))
         return;
     // Hosts that start together find none, and nobody has a copy yet; reports tell who has one.
--- a/tests/auto/gateway/tst_fleetview.cpp
+++ b/tests/auto/gateway/tst_fleetview.cpp
@@ -79,7 +79,7 @@
         }
         for (Host &host : m_hosts) {
             host.view = std::make_unique<FleetView>(host.self.host, host.self.zone);
-            host.view->learn(rows, start);
+            host.view->addHostRows(rows, start);
         }
     }
 
@@ -93,7 +93,7 @@
                 sendDue(host, now);
         }
         for (Host &host : m_hosts) {
-            host.view->sumUp(now);
+            host.view->updateTotals(now);
             host.view->advance(now);
         }
     }
@@ -108,7 +108,7 @@
                 if (m_hosts[i].isDown || i * 7 % turns != turn)
                     continue;
                 sendDue(m_hosts[i], m_now);
-                m_hosts[i].view->sumUp(m_now);
+                m_hosts[i].view->updateTotals(m_now);
                 m_hosts[i].view->advance(m_now);
             }
         }
@@ -121,17 +121,17 @@
         own.asked[Base::CustomerId("c")] = askedOfHost;
         own.received[Base::CustomerId("c")] = 5;
         own.partUses = std::exchange(host.newUses, {});
-        for (const ReportOrder &order : host.view->dueReports(now)) {
+        for (const DueReport &order : host.view->dueReports(now)) {
             HostReport it;
             it.self = host.self;
             it.incarnation = host.incarnation;
             it.sequence = ++host.sequence;
             it.scope = order.scope;
             it.load = own;
-            host.view->addOthers(it, now);
-            host.view->addPassedOn(it);
+            host.view->addOtherHosts(it, now);
+            host.view->addRelayedUses(it);
             if (order.scope == ReportScope::Host)
-                host.view->reported(it.sequence, own, now);
+                host.view->recordSentReport(it.sequence, own, now);
             m_toldUses += it.load.partUses.size() * order.receivers.size();
             for (const std::string &address : order.receivers)
                 deliver(address, it, now);
@@ -185,7 +185,7 @@
         host.self.isLeaving = false;
         ++host.incarnation;
         host.view = std::make_unique<FleetView>(host.self.host, host.self.zone);
-        host.view->learn(m_rows, m_now);
+        host.view->addHostRows(m_rows, m_now);
     }
     /// From now on so many of a hundred datagrams are lost, by chance.
     void setLoss(int ofHundred, std::uint32_t seed)
@@ -314,12 +314,12 @@
     FleetView view = viewOf("self");
     view.receive(report("a", 1), start);
     view.receive(report("b", 1), start + seconds(1));
-    view.sumUp(start + seconds(1));
+    view.updateTotals(start + seconds(1));
     CHECK(servingAddresses(view, start + seconds(1)).size() == 2);
     CHECK(view.others().servers.at(Base::ServerId("s")).running == 6);
     CHECK(view.others().hosts == 3);
     const Base::TimePoint later = start + milliseconds(1500);
-    view.sumUp(later);
+    view.updateTotals(later);
     CHECK(servingAddresses(view, later) == std::vector<std::string>{"b:8000"});
     CHECK(view.others().servers.at(Base::ServerId("s")).running == 3);
     CHECK(view.others().received.at(Base::CustomerId("c")) == 40);
@@ -368,17 +368,17 @@
     // suspension that says "current as of a second ago", and uses the key. Cause: the age was
     // counted from when the datagram was read.
     FleetView view = viewOf("self");
-    view.reported(41, {}, start);
-    view.reported(42, {}, start + seconds(1));
+    view.recordSentReport(41, {}, start);
+    view.recordSentReport(42, {}, start + seconds(1));
     HostReport proof = report("a", 1);
-    CHECK_FALSE(view.echoedAt(proof));
+    CHECK_FALSE(view.echoedSendTime(proof));
     proof.echoes[Base::HostId("self")] = 41;
-    CHECK(view.echoedAt(proof) == start);
+    CHECK(view.echoedSendTime(proof) == start);
     proof.echoes[Base::HostId("self")] = 42;
-    CHECK(view.echoedAt(proof) == start + seconds(1));
+    CHECK(view.echoedSendTime(proof) == start + seconds(1));
     // Of another start of this host: it proves nothing.
     proof.echoes[Base::HostId("self")] = 7;
-    CHECK_FALSE(view.echoedAt(proof));
+    CHECK_FALSE(view.echoedSendTime(proof));
 }
 
 TEST_CASE("on a large fleet every host knows all work, with few datagrams", "[gateway]")
@@ -487,10 +487,10 @@
         return it;
     };
     const auto asked = [&view](Base::TimePoint now) {
-        view.sumUp(now);
+        view.updateTotals(now);
         HostReport fleet;
         fleet.scope = ReportScope::Fleet;
-        view.addOthers(fleet, now);
+        view.addOtherHosts(fleet, now);
         CHECK(view.others().asked == fleet.load.asked);
         return fleet.load.asked[Base::CustomerId("c")];
     };
--- a/tests/auto/gateway/tst_storereplica.cpp
+++ b/tests/auto/gateway/tst_storereplica.cpp
@@ -79,9 +79,9 @@
         it.sequence = ++m_sequence;
         it.scope = scope;
         it.store = replica->knowledge(now);
-        m_view->addOthers(it, now);
+        m_view->addOtherHosts(it, now);
         if (scope == ReportScope::Host)
-            m_view->reported(it.sequence, it.load, now);
+            m_view->recordSentReport(it.sequence, it.load, now);
         return it;
     }
     void receive(const HostReport &it, Base::TimePoint now)
@@ -179,7 +179,7 @@
             return;
         m_nextReport = now + milliseconds(50);
         for (const auto &from : hosts) {
-            for (const ReportOrder &order : from->view().dueReports(now)) {
+            for (const DueReport &order : from->view().dueReports(now)) {
                 const HostReport report = from->report(order.scope, now);
                 for (const std::string &address : order.receivers) {
                     for (const auto &to : hosts) {
@@ -371,7 +371,7 @@
     for (const auto &host : fleet.hosts) {
         for (const std::size_t seed : {0U, 2U, 4U}) {
             if (host != fleet.hosts[seed])
-                host->view().learnAddress(fleet.hosts[seed]->row().peerAddress, bootTimeNow());
+                host->view().addAddress(fleet.hosts[seed]->row().peerAddress, bootTimeNow());
         }
     }
     const bool isComplete = fleet.runUntil(
