--- a/src/libs/gateway/exchange.cpp
+++ b/src/libs/gateway/exchange.cpp
@@ -15,23 +15,23 @@
 
 /// Attempts of one request in all, those included that certainly did not run. Bounds the work
 /// that one request causes while many servers are full or unreachable.
-constexpr unsigned mostSends = 4;
+constexpr unsigned maxSends = 4;
 /// Time left below which another attempt cannot end in time.
-constexpr Base::Duration leastTimeLeft = milliseconds(40);
+constexpr Base::Duration minTimeLeft = milliseconds(40);
 /// A repeatable request that has not begun to be answered is sent elsewhere after this many times
 /// the expected time, and a floor: a server that is down without a reset says nothing for ever.
-constexpr int patienceFactor = 2;
-constexpr Base::Duration leastPatience = milliseconds(250);
-constexpr Base::Duration leastStreamPatience = milliseconds(1100);
+constexpr int silenceFactor = 2;
+constexpr Base::Duration minSilenceTimeout = milliseconds(250);
+constexpr Base::Duration minStreamSilenceTimeout = milliseconds(1100);
 /// A started stream that pauses for this many times the longest pause that is on time is gone on
 /// with elsewhere. Callers leave after eight times; half of it leaves time for the other server.
-constexpr int pauseFactor = 3;
+constexpr int pauseToleranceFactor = 3;
 /// A server that this host has heard of within this time is alive.
-constexpr Base::Duration leastQuiet = milliseconds(150);
-constexpr Base::Duration leastStreamQuiet = milliseconds(600);
+constexpr Base::Duration serverQuietTime = milliseconds(150);
+constexpr Base::Duration streamServerQuietTime = milliseconds(600);
 /// How many times longer a server is waited for while it answers others. Callers of a stream leave
 /// after about four seconds without an event.
-constexpr int aliveFactor = 3;
+constexpr int aliveServerFactor = 3;
 constexpr Base::Milliseconds defaultRetryAfter{300};
 
 bool isEventStreamHead(const ResponseHead &head)
@@ -41,14 +41,14 @@
 
 } // namespace
 
-Exchange::Exchange(ExchangePort &host, AcceptedRequest accepted, AnswerSink &sink)
-    : m_port(&host)
+Exchange::Exchange(ExchangePort &port, AcceptedRequest accepted, AnswerSink &sink)
+    : m_port(&port)
     , m_accepted(std::move(accepted))
     , m_sink(&sink)
 {
     const std::string_view lastId = field(m_accepted.request.message, m_port->names().lastEventId);
-    m_firstLastId = parseNumber(lastId);
-    m_events = EventSplitter(m_firstLastId);
+    m_resumeAfterId = parseNumber(lastId);
+    m_events = EventSplitter(m_resumeAfterId);
     m_acceptedAt = m_port->now();
 }
 
@@ -77,13 +77,13 @@
     const Routing::RegisteredServer *target = m_port->server(m_server);
     if (!target) {
         ++m_sends;
-        endAttempt(AttemptOutcome::Withdrawn);
-        afterFailure(AttemptOutcome::Withdrawn, false);
+        finishAttempt(AttemptOutcome::Withdrawn);
+        handleFailedAttempt(AttemptOutcome::Withdrawn, false);
         return;
     }
     // The key may have been taken away while the request waited, or the host was suspended.
     if (!m_accepted.customer.isEmpty() && !m_port->mayUseKeys()) {
-        endAttempt(AttemptOutcome::Withdrawn);
+        finishAttempt(AttemptOutcome::Withdrawn);
         fail({FailureType::NotReady, m_mayHaveRun, defaultRetryAfter});
         return;
     }
@@ -91,7 +91,7 @@
     // Its server would work for nobody.
     if (!m_isCallerGone && m_sink->isCallerGone()) {
         m_isCallerGone = true;
-        endAttempt(AttemptOutcome::Withdrawn);
+        finishAttempt(AttemptOutcome::Withdrawn);
         finish("caller_gone");
         return;
     }
@@ -107,7 +107,7 @@
     m_body.clear();
     m_events.restart();
     m_sentAt = now;
-    m_heardAt = now;
+    m_lastDataAt = now;
     m_expectedStart = m_port->expectedStart(m_accepted.service, m_accepted.id);
     ++m_sends;
     m_tried.push_back(server.id);
@@ -121,8 +121,8 @@
     std::shared_ptr<BackendConnection> connection =
         m_port->backends().send({server, std::move(attempt), !route().mayRepeat()}, *this, now);
     if (!connection) {
-        endAttempt(AttemptOutcome::NoRoom);
-        afterFailure(AttemptOutcome::NoRoom, false);
+        finishAttempt(AttemptOutcome::NoRoom);
+        handleFailedAttempt(AttemptOutcome::NoRoom, false);
         return;
     }
     // The attempt may have failed within the call, and a further one may be under way.
@@ -133,15 +133,15 @@
 ForwardedFields Exchange::forwardedFields(const Routing::RegisteredServer &server) const
 {
     ForwardedFields added;
-    const Base::Duration left = endBy() - m_port->now();
+    const Base::Duration left = effectiveDeadline() - m_port->now();
     added.timeLeftMs =
         std::max<std::int64_t>(1, std::chrono::duration_cast<milliseconds>(left).count());
     added.expectedServer = server.start.name;
-    const Routing::RegisteredServer *keeper =
+    const Routing::RegisteredServer *fetchSource =
         m_fetchFrom.isEmpty() ? nullptr : m_port->server(m_fetchFrom);
     // One that has left meanwhile keeps nothing: the server reads all itself.
-    if (keeper)
-        added.fetchFrom = keeper->address;
+    if (fetchSource)
+        added.fetchFrom = fetchSource->address;
     added.customer = m_accepted.customer.value();
     added.dropsKey = !m_accepted.table->configuration().customers.empty();
     if (m_eventCount > 0 && m_events.lastId())
@@ -149,7 +149,7 @@
     return added;
 }
 
-Base::TimePoint Exchange::endBy() const
+Base::TimePoint Exchange::effectiveDeadline() const
 {
     return std::min(m_accepted.request.readAt + route().timeout, m_accepted.deadline);
 }
@@ -167,30 +167,30 @@
 
 void Exchange::checkTime(Base::TimePoint now)
 {
-    if (m_state == State::Over)
+    if (m_state == State::Finished)
         return;
-    if (now >= endBy()) {
+    if (now >= effectiveDeadline()) {
         if (m_state == State::Sent)
             m_mayHaveRun = true;
-        dropAttempt(AttemptOutcome::Withdrawn);
+        cancelAttempt(AttemptOutcome::Withdrawn);
         fail({FailureType::TimedOut, m_mayHaveRun, std::nullopt});
         return;
     }
-    if (!isSilent(now) || !mayRepeat(AttemptOutcome::Silent, true))
+    if (!isSilent(now) || !mayRetry(AttemptOutcome::Silent, true))
         return;
     logFailedAttempt(AttemptOutcome::Silent, true, true);
     m_mayHaveRun = true;
-    ++m_runs;
-    dropAttempt(AttemptOutcome::Silent);
+    ++m_possibleRuns;
+    cancelAttempt(AttemptOutcome::Silent);
     submit();
 }
 
-Base::Duration Exchange::patience() const
+Base::Duration Exchange::silenceTimeout() const
 {
     if (route().isStream() && m_isWorkStarted)
-        return route().longestPause * pauseFactor;
-    const Base::Duration floor = route().isStream() ? leastStreamPatience : leastPatience;
-    return std::max(m_expectedStart * patienceFactor, floor);
+        return route().longestPause * pauseToleranceFactor;
+    const Base::Duration floor = route().isStream() ? minStreamSilenceTimeout : minSilenceTimeout;
+    return std::max(m_expectedStart * silenceFactor, floor);
 }
 
 bool Exchange::isSilent(Base::TimePoint now) const
@@ -199,29 +199,30 @@
         return false;
     if (m_isHeadSeen && !route().isStream())
         return false;
-    const Base::Duration silence = now - (m_isWorkStarted ? m_heardAt : m_sentAt);
-    if (silence < patience())
+    const Base::Duration silence = now - (m_isWorkStarted ? m_lastDataAt : m_sentAt);
+    if (silence < silenceTimeout())
         return false;
     // A server that answers others is alive and only slow: to give up its work would waste what it
     // has read, and on a crowded pool nobody else has room. One that never answers this request
     // may fail a part of its requests without a word, so there is an end to it.
-    const Base::Duration quiet = route().isStream() ? leastStreamQuiet : leastQuiet;
-    const std::optional<Base::TimePoint> heardAt = m_port->lastHeardFrom(m_server);
-    const bool isServerQuiet = !heardAt || now - *heardAt >= quiet;
-    return isServerQuiet || silence >= patience() * aliveFactor;
+    const Base::Duration quietTime = route().isStream() ? streamServerQuietTime : serverQuietTime;
+    const std::optional<Base::TimePoint> lastResponseAt = m_port->lastResponseFrom(m_server);
+    const bool isServerQuiet = !lastResponseAt || now - *lastResponseAt >= quietTime;
+    return isServerQuiet || silence >= silenceTimeout() * aliveServerFactor;
 }
 
 void Exchange::callerGone()
 {
     m_isCallerGone = true;
-    if (m_state == State::Over)
+    if (m_state == State::Finished)
         return;
     // What must not be repeated runs to its end: its connection stays whole, and nobody is told
     // that it did not run. Everything else is dropped, so that its server is free at once.
-    const bool runsOn = m_state == State::Sent && !route().mayRepeat() && !route().isStream();
-    if (runsOn)
+    const bool isLeftRunning =
+        m_state == State::Sent && !route().mayRepeat() && !route().isStream();
+    if (isLeftRunning)
         return;
-    dropAttempt(AttemptOutcome::Withdrawn);
+    cancelAttempt(AttemptOutcome::Withdrawn);
     finish("caller_gone");
 }
 
@@ -234,8 +235,8 @@
 void Exchange::answerStarted(const ResponseHead &head)
 {
     m_isHeadSeen = true;
-    m_heardAt = m_port->now();
-    m_port->heardFrom(m_server);
+    m_lastDataAt = m_port->now();
+    m_port->serverResponded(m_server);
     m_head = head;
     m_isEventStream =
         route().isStream() && head.result() == Http::status::ok && isEventStreamHead(head);
@@ -243,16 +244,16 @@
 
 void Exchange::answerData(std::string_view data)
 {
-    m_heardAt = m_port->now();
-    m_port->heardFrom(m_server);
+    m_lastDataAt = m_port->now();
+    m_port->serverResponded(m_server);
     if (!m_isEventStream) {
         m_body.append(data);
         return;
     }
-    passEvents(data);
+    forwardEvents(data);
 }
 
-void Exchange::passEvents(std::string_view data)
+void Exchange::forwardEvents(std::string_view data)
 {
     const WholeEvents whole = m_events.push(data);
     if (whole.count == 0)
@@ -262,7 +263,7 @@
         m_port->workStarted(m_accepted.service, m_accepted.id);
     }
     if (m_eventCount == 0)
-        m_firstEventAt = m_heardAt;
+        m_firstEventAt = m_lastDataAt;
     m_eventCount += whole.count;
     m_port->eventsForwarded(whole.count);
     const std::shared_ptr<Exchange> self = shared_from_this();
@@ -283,45 +284,45 @@
         return;
     if (m_isEventStream) {
         if (m_events.hasRest() || m_eventCount == 0) {
-            endAttempt(AttemptOutcome::Broken);
-            afterFailure(AttemptOutcome::Broken, true);
+            finishAttempt(AttemptOutcome::Broken);
+            handleFailedAttempt(AttemptOutcome::Broken, true);
             return;
         }
-        endAttempt(AttemptOutcome::Served);
+        finishAttempt(AttemptOutcome::Served);
         m_sink->endStream();
         finish("streamed");
         return;
     }
-    takeAnswer();
+    handleWholeAnswer();
 }
 
-void Exchange::takeAnswer()
+void Exchange::handleWholeAnswer()
 {
     const unsigned status = m_head.result_int();
     const bool didNotRun = m_head.count(m_port->names().notRun) > 0 || status == 421;
     if (didNotRun) {
         const AttemptOutcome outcome =
             status == 421 ? AttemptOutcome::WrongServer : AttemptOutcome::NoRoom;
-        endAttempt(outcome);
-        afterFailure(outcome, false);
+        finishAttempt(outcome);
+        handleFailedAttempt(outcome, false);
         return;
     }
-    if (!isAnswerTrue()) {
-        endAttempt(AttemptOutcome::Broken);
-        afterFailure(AttemptOutcome::Broken, true);
+    if (!isAnswerTrusted()) {
+        finishAttempt(AttemptOutcome::Broken);
+        handleFailedAttempt(AttemptOutcome::Broken, true);
         return;
     }
     if (status >= 500) {
-        endAttempt(AttemptOutcome::ServerError);
-        if (!m_isStreamStarted && mayRepeat(AttemptOutcome::ServerError, true)) {
+        finishAttempt(AttemptOutcome::ServerError);
+        if (!m_isStreamStarted && mayRetry(AttemptOutcome::ServerError, true)) {
             logFailedAttempt(AttemptOutcome::ServerError, true, true);
             m_mayHaveRun = true;
-            ++m_runs;
+            ++m_possibleRuns;
             submit();
             return;
         }
     } else {
-        endAttempt(AttemptOutcome::Served);
+        finishAttempt(AttemptOutcome::Served);
     }
     if (m_isStreamStarted) {
         // A server that was asked to go on with a stream answered something else.
@@ -334,14 +335,14 @@
     finish("answered");
 }
 
-bool Exchange::isAnswerTrue() const
+bool Exchange::isAnswerTrusted() const
 {
     // That the request did not run is only believed with the field that says so, and a
     // success only with the server's signature.
     const unsigned status = m_head.result_int();
-    const bool isPromise = status == 429 || status == 503 || status == 408;
+    const bool claimsNotRun = status == 429 || status == 503 || status == 408;
     const bool isSuccess = status >= 200 && status < 300;
-    if (isPromise)
+    if (claimsNotRun)
         return false;
     return !isSuccess || !field(m_head, m_port->names().signature).empty();
 }
@@ -351,19 +352,19 @@
     m_connection.reset();
     if (m_state != State::Sent)
         return;
-    endAttempt(failure.outcome);
-    afterFailure(failure.outcome, failure.maybeSent);
+    finishAttempt(failure.outcome);
+    handleFailedAttempt(failure.outcome, failure.maybeSent);
 }
 
-void Exchange::afterFailure(AttemptOutcome outcome, bool maybeRan)
+void Exchange::handleFailedAttempt(AttemptOutcome outcome, bool maybeRan)
 {
-    const bool repeats = mayRepeat(outcome, maybeRan);
-    logFailedAttempt(outcome, maybeRan, repeats);
+    const bool retries = mayRetry(outcome, maybeRan);
+    logFailedAttempt(outcome, maybeRan, retries);
     if (maybeRan) {
         m_mayHaveRun = true;
-        ++m_runs;
+        ++m_possibleRuns;
     }
-    if (repeats) {
+    if (retries) {
         submit();
         return;
     }
@@ -372,32 +373,32 @@
           defaultRetryAfter});
 }
 
-bool Exchange::mayRepeat(AttemptOutcome outcome, bool maybeRan)
+bool Exchange::mayRetry(AttemptOutcome outcome, bool maybeRan)
 {
-    if (m_isCallerGone || m_sends >= mostSends)
+    if (m_isCallerGone || m_sends >= maxSends)
         return false;
     if (maybeRan && !route().mayRepeat())
         return false;
-    if (m_runs + (maybeRan ? 1 : 0) >= route().maxAttempts)
+    if (m_possibleRuns + (maybeRan ? 1 : 0) >= route().maxAttempts)
         return false;
     if (m_isStreamStarted && route().kind != Routing::WorkKind::ResumableStream)
         return false;
-    if (endBy() - m_port->now() < leastTimeLeft)
+    if (effectiveDeadline() - m_port->now() < minTimeLeft)
         return false;
     // What never reached a server is no repeat for anybody.
     if (outcome == AttemptOutcome::Unreachable || outcome == AttemptOutcome::Withdrawn)
         return true;
-    return m_port->takeRepeat(m_accepted.service);
+    return m_port->acquireRetry(m_accepted.service);
 }
 
-void Exchange::endAttempt(AttemptOutcome outcome)
+void Exchange::finishAttempt(AttemptOutcome outcome)
 {
     if (!std::exchange(m_isPlaced, false))
         return;
     m_port->workFinished(m_accepted.service, m_accepted.id, outcome);
 }
 
-void Exchange::dropAttempt(AttemptOutcome outcome)
+void Exchange::cancelAttempt(AttemptOutcome outcome)
 {
     const std::shared_ptr<BackendConnection> connection = std::move(m_connection);
     m_connection.reset();
@@ -406,7 +407,7 @@
     if (m_state == State::Waiting)
         m_port->withdrawWork(m_accepted.service, m_accepted.id);
     else
-        endAttempt(outcome);
+        finishAttempt(outcome);
     m_state = State::Waiting;
 }
 
@@ -431,14 +432,14 @@
 
 void Exchange::finish(const char *outcome)
 {
-    if (m_state == State::Over)
+    if (m_state == State::Finished)
         return;
-    m_state = State::Over;
+    m_state = State::Finished;
     logEnd(outcome);
-    m_port->exchangeOver(m_accepted.id);
+    m_port->exchangeFinished(m_accepted.id);
 }
 
-void Exchange::logFailedAttempt(AttemptOutcome outcome, bool maybeRan, bool repeats)
+void Exchange::logFailedAttempt(AttemptOutcome outcome, bool maybeRan, bool retries)
 {
     m_port->attemptFailed(outcome);
     const Base::TimePoint now = m_port->now();
@@ -450,7 +451,7 @@
         .add("server", m_server.value())
         .add("outcome", Routing::nameOf(outcome))
         .add("maybeRan", maybeRan)
-        .add("repeats", repeats)
+        .add("repeats", retries)
         .add("sends", m_sends)
         .add("events", m_eventCount)
         .add("afterMs", now - m_sentAt);
@@ -479,7 +480,7 @@
         .add("status", m_status)
         .add("server", m_server.value())
         .add("sends", m_sends)
-        .add("runs", m_runs)
+        .add("runs", m_possibleRuns)
         .add("events", m_eventCount)
         .add("waitedMs", m_sends > 0 ? m_sentAt - m_accepted.request.readAt : Base::Duration(0))
         .add("unreadTokens", m_inputs.unreadTokens)
--- a/src/libs/gateway/exchange.h
+++ b/src/libs/gateway/exchange.h
@@ -33,7 +33,7 @@
     /// This host has no processor time to spare.
     virtual bool isBusy() = 0;
     /// Takes a repeat out of this host's share of the retry budget.
-    virtual bool takeRepeat(const std::string &service) = 0;
+    virtual bool acquireRetry(const std::string &service) = 0;
     /// Null if the server may not get work any more.
     virtual const Routing::RegisteredServer *server(const Base::ServerId &id) = 0;
     /// Whether keys may be used: the configuration is known to be current.
@@ -44,13 +44,13 @@
     virtual Base::TimePoint now() = 0;
     virtual void attemptFailed(Routing::AttemptOutcome outcome) = 0;
     /// The server said something, to whichever request.
-    virtual void heardFrom(const Base::ServerId &server) = 0;
+    virtual void serverResponded(const Base::ServerId &server) = 0;
     /// When that was last; empty if it never has.
-    virtual std::optional<Base::TimePoint> lastHeardFrom(const Base::ServerId &server) = 0;
+    virtual std::optional<Base::TimePoint> lastResponseFrom(const Base::ServerId &server) = 0;
     /// Events of a stream went to their caller.
     virtual void eventsForwarded(std::size_t count) = 0;
     virtual void requestEnded(const EndedRequest &request) = 0;
-    virtual void exchangeOver(Routing::WorkId id) = 0;
+    virtual void exchangeFinished(Routing::WorkId id) = 0;
 };
 
 /// A request that was found to be in order, with what decided so.
@@ -79,14 +79,14 @@
                        public std::enable_shared_from_this<Exchange>
 {
 public:
-    Exchange(ExchangePort &host, AcceptedRequest accepted, AnswerSink &sink);
+    Exchange(ExchangePort &port, AcceptedRequest accepted, AnswerSink &sink);
 
     void start();
     void placed(const Routing::Placement &placement);
     void turnedAway(const Routing::TurnedAway &why);
     /// Looks at the request's time limits.
     void checkTime(Base::TimePoint now);
-    bool isOver() const { return m_state == State::Over; }
+    bool isFinished() const { return m_state == State::Finished; }
     bool isStream() const { return route().isStream(); }
     const Routing::Work &work() const { return m_accepted.work; }
 
@@ -99,28 +99,28 @@
     void attemptFailed(const AttemptFailure &failure) override;
 
 private:
-    enum class State { Waiting, Sent, Over };
+    enum class State { Waiting, Sent, Finished };
 
     const Routing::Route &route() const { return *m_accepted.route; }
     bool isStreaming() const { return m_isStreamStarted; }
     void submit();
     void sendTo(const Routing::RegisteredServer &server);
     ForwardedFields forwardedFields(const Routing::RegisteredServer &server) const;
-    void endAttempt(Routing::AttemptOutcome outcome);
-    void dropAttempt(Routing::AttemptOutcome outcome);
+    void finishAttempt(Routing::AttemptOutcome outcome);
+    void cancelAttempt(Routing::AttemptOutcome outcome);
     /// The attempt is over without an answer: sends again, or gives the final answer.
-    void afterFailure(Routing::AttemptOutcome outcome, bool maybeRan);
-    bool mayRepeat(Routing::AttemptOutcome outcome, bool maybeRan);
-    void takeAnswer();
-    bool isAnswerTrue() const;
-    void passEvents(std::string_view data);
+    void handleFailedAttempt(Routing::AttemptOutcome outcome, bool maybeRan);
+    bool mayRetry(Routing::AttemptOutcome outcome, bool maybeRan);
+    void handleWholeAnswer();
+    bool isAnswerTrusted() const;
+    void forwardEvents(std::string_view data);
     bool isSilent(Base::TimePoint now) const;
-    Base::Duration patience() const;
-    Base::TimePoint endBy() const;
+    Base::Duration silenceTimeout() const;
+    Base::TimePoint effectiveDeadline() const;
     void fail(Failure failure);
     void finish(const char *outcome);
     void logEnd(const char *outcome);
-    void logFailedAttempt(Routing::AttemptOutcome outcome, bool maybeRan, bool repeats);
+    void logFailedAttempt(Routing::AttemptOutcome outcome, bool maybeRan, bool retries);
 
     ExchangePort *m_port;
     AcceptedRequest m_accepted;
@@ -135,16 +135,16 @@
     ResponseHead m_head;
     std::string m_body;
     EventSplitter m_events;
-    std::optional<std::uint64_t> m_firstLastId;
+    std::optional<std::uint64_t> m_resumeAfterId;
     Base::TimePoint m_acceptedAt;
     Base::TimePoint m_sentAt;
-    Base::TimePoint m_heardAt;
+    Base::TimePoint m_lastDataAt;
     Base::TimePoint m_firstEventAt;
     Base::Duration m_expectedStart{};
     std::size_t m_eventCount = 0;
     unsigned m_status = 0;
     /// Attempts that may have run, and attempts in all.
-    unsigned m_runs = 0;
+    unsigned m_possibleRuns = 0;
     unsigned m_sends = 0;
     bool m_mayHaveRun = false;
     bool m_isHeadSeen = false;
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -269,7 +269,7 @@
         if (m_metricsListener)
             m_metricsListener->checkTime(time);
         m_fleet.advance(time);
-        std::erase_if(m_heardFrom, [this](const auto &it) { return !server(it.first); });
+        std::erase_if(m_lastResponses, [this](const auto &it) { return !server(it.first); });
         reloadIfChanged();
     }
     const bool isLeaseHeld = m_replica->lease().isHeld(time);
@@ -472,7 +472,7 @@
     return m_services->service(service).dispatcher.expectedStart(id);
 }
 
-bool Gateway::takeRepeat(const std::string &service)
+bool Gateway::acquireRetry(const std::string &service)
 {
     const bool isGranted = m_services->service(service).retries.take(m_fleet.others().hosts, now());
     m_metrics->repeatAsked(isGranted);
@@ -499,15 +499,15 @@
     m_metrics->attemptFailed(Routing::nameOf(outcome));
 }
 
-void Gateway::heardFrom(const Base::ServerId &server)
+void Gateway::serverResponded(const Base::ServerId &server)
 {
-    m_heardFrom[server] = now();
+    m_lastResponses[server] = now();
 }
 
-std::optional<Base::TimePoint> Gateway::lastHeardFrom(const Base::ServerId &server)
+std::optional<Base::TimePoint> Gateway::lastResponseFrom(const Base::ServerId &server)
 {
-    const auto it = m_heardFrom.find(server);
-    if (it == m_heardFrom.end())
+    const auto it = m_lastResponses.find(server);
+    if (it == m_lastResponses.end())
         return std::nullopt;
     return it->second;
 }
@@ -529,7 +529,7 @@
     m_metrics->storeAnswered(call, isGood);
 }
 
-void Gateway::exchangeOver(Routing::WorkId id)
+void Gateway::exchangeFinished(Routing::WorkId id)
 {
     m_exchanges.erase(id);
 }
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -76,7 +76,7 @@
                       Routing::AttemptOutcome outcome) override;
     Base::Duration expectedStart(const std::string &service, Routing::WorkId id) override;
     bool isBusy() override { return m_backlog.isBusy(now()); }
-    bool takeRepeat(const std::string &service) override;
+    bool acquireRetry(const std::string &service) override;
     const Routing::RegisteredServer *server(const Base::ServerId &id) override;
     bool mayUseKeys() override;
     BackendPool &backends() override { return m_pool; }
@@ -84,10 +84,10 @@
     EventLog &log() override { return m_log; }
     Base::TimePoint now() override;
     void attemptFailed(Routing::AttemptOutcome outcome) override;
-    void heardFrom(const Base::ServerId &server) override;
-    std::optional<Base::TimePoint> lastHeardFrom(const Base::ServerId &server) override;
+    void serverResponded(const Base::ServerId &server) override;
+    std::optional<Base::TimePoint> lastResponseFrom(const Base::ServerId &server) override;
     void requestEnded(const EndedRequest &request) override;
-    void exchangeOver(Routing::WorkId id) override;
+    void exchangeFinished(Routing::WorkId id) override;
 
     void configurationTaken() override;
     void serversChanged(const Routing::ServerChanges &changes, bool isNews) override;
@@ -157,7 +157,7 @@
     Base::TimePoint m_busySince{};
     std::unique_ptr<Services> m_services;
     std::unordered_map<Routing::WorkId, std::shared_ptr<Exchange>> m_exchanges;
-    std::unordered_map<Base::ServerId, Base::TimePoint> m_heardFrom;
+    std::unordered_map<Base::ServerId, Base::TimePoint> m_lastResponses;
     std::deque<Routing::Decisions> m_decisions;
     Base::Incarnation m_incarnation = 0;
     std::uint64_t m_reportSequence = 0;
--- a/tests/auto/gateway/tst_exchange.cpp
+++ b/tests/auto/gateway/tst_exchange.cpp
@@ -61,7 +61,7 @@
     }
     Base::Duration expectedStart(const std::string &, Routing::WorkId) override { return {}; }
     bool isBusy() override { return false; }
-    bool takeRepeat(const std::string &) override { return true; }
+    bool acquireRetry(const std::string &) override { return true; }
     const Routing::RegisteredServer *server(const Base::ServerId &) override { return &m_entry; }
     bool mayUseKeys() override { return true; }
     BackendPool &backends() override { return m_pool; }
@@ -69,11 +69,11 @@
     EventLog &log() override { return m_log; }
     Base::TimePoint now() override { return bootTimeNow(); }
     void attemptFailed(Routing::AttemptOutcome) override {}
-    void heardFrom(const Base::ServerId &) override {}
-    std::optional<Base::TimePoint> lastHeardFrom(const Base::ServerId &) override { return {}; }
+    void serverResponded(const Base::ServerId &) override {}
+    std::optional<Base::TimePoint> lastResponseFrom(const Base::ServerId &) override { return {}; }
     void eventsForwarded(std::size_t) override {}
     void requestEnded(const EndedRequest &request) override { ended.push_back(request.outcome); }
-    void exchangeOver(Routing::WorkId) override {}
+    void exchangeFinished(Routing::WorkId) override {}
 
     std::shared_ptr<Exchange> exchange(Sink &sink)
     {
@@ -139,7 +139,7 @@
     exchange->placed(port.placement());
     port.poll();
     CHECK_FALSE(port.backend.isCalled());
-    CHECK(exchange->isOver());
+    CHECK(exchange->isFinished());
     CHECK(port.ended == std::vector<std::string>{"caller_gone"});
     // Its place is free again, and the server is not blamed.
     CHECK(port.outcomes == std::vector{Routing::AttemptOutcome::Withdrawn});
