--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -199,7 +199,7 @@
             BOOST_LEAF_AUTO(settings, m_settingsWatcher.changed());
             if (!settings)
                 return {};
-            takeSettings(*settings);
+            applySettings(*settings);
             m_log.write(LogLine("process.reload").add("changed", true), now());
             return {};
         },
@@ -215,7 +215,7 @@
         [&] { m_log.write(LogLine("process.reload").add("changed", false), now()); });
 }
 
-void Gateway::takeSettings(const GatewaySettings &settings)
+void Gateway::applySettings(const GatewaySettings &settings)
 {
     m_settings.entryListMaxAge = settings.entryListMaxAge;
     m_settings.shutdownGrace = settings.shutdownGrace;
@@ -224,7 +224,7 @@
     m_settings.leavingBound = settings.leavingBound;
     m_settings.retries = settings.retries;
     m_settings.requestLinesPerSecond = settings.requestLinesPerSecond;
-    m_replica->takeSettings(m_settings);
+    m_replica->applySettings(m_settings);
     m_log.setRequestLines(settings.requestLinesPerSecond);
     m_services->retryAllowanceChanged(settings.retries);
 }
@@ -317,7 +317,7 @@
     HostReport report;
     report.self = memberOfThisHost(time);
     report.incarnation = m_incarnation;
-    report.store = m_replica->knowledge(time);
+    report.store = m_replica->storeState(time);
     return report;
 }
 
@@ -361,7 +361,7 @@
     if (!m_fleet.receive(report, time))
         return;
     m_services->learnPartUses(report.load.partUses, time);
-    m_replica->takeReport(report, time);
+    m_replica->applyReport(report, time);
 }
 
 std::shared_ptr<ActiveRequest> Gateway::handle(CallerRequest request, AnswerSink &sink)
@@ -534,7 +534,7 @@
     m_exchanges.erase(id);
 }
 
-void Gateway::configurationTaken()
+void Gateway::configurationApplied()
 {
     m_nextReport = Base::TimePoint{};
     const Routing::CallerLimits &limits = m_replica->table()->configuration().limits;
@@ -545,11 +545,11 @@
     m_services->configurationChanged();
 }
 
-void Gateway::serversChanged(const Routing::ServerChanges &changes, bool isNews)
+void Gateway::serversChanged(const Routing::ServerChanges &changes, bool notifiesZone)
 {
     if (changes.isEmpty())
         return;
-    if (isNews)
+    if (notifiesZone)
         m_nextReport = Base::TimePoint{};
     const Base::TimePoint time = now();
     for (const Base::ServerId &id : changes.found)
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -89,8 +89,8 @@
     void requestEnded(const EndedRequest &request) override;
     void exchangeFinished(Routing::WorkId id) override;
 
-    void configurationTaken() override;
-    void serversChanged(const Routing::ServerChanges &changes, bool isNews) override;
+    void configurationApplied() override;
+    void serversChanged(const Routing::ServerChanges &changes, bool notifiesZone) override;
     void serversRead() override { m_services->serversRead(); }
     void unreadableChanged(const std::set<std::string> &entries) override;
     void storeAnswered(const char *call, bool isGood) override;
@@ -108,7 +108,7 @@
     void watchSignals();
     /// Takes what may change while the process runs from the settings file, if that has changed.
     void reloadIfChanged();
-    void takeSettings(const GatewaySettings &settings);
+    void applySettings(const GatewaySettings &settings);
     void tick();
     void onTick();
     void report(Base::TimePoint now);
--- a/src/libs/gateway/hostreport.cpp
+++ b/src/libs/gateway/hostreport.cpp
@@ -204,11 +204,11 @@
     return Base::Milliseconds(static_cast<std::int64_t>(age & INT32_MAX));
 }
 
-Json storeJson(const StoreKnowledge &store)
+Json storeJson(const StoreState &store)
 {
     Json json{store.configurationVersion, store.serversFingerprint, store.serversVersion};
     pushAge(json, store.proofAge);
-    pushAge(json, store.lossAge);
+    pushAge(json, store.outageAge);
     Json changes = Json::array();
     for (const Routing::ServerChange &change : store.serverChanges)
         changes.push_back(changeJson(change));
@@ -216,14 +216,14 @@
     return json;
 }
 
-StoreKnowledge readStore(ArrayReader &reader)
+StoreState readStore(ArrayReader &reader)
 {
-    StoreKnowledge store;
+    StoreState store;
     store.configurationVersion = reader.number();
     store.serversFingerprint = reader.number();
     store.serversVersion = reader.number();
     store.proofAge = readAge(reader);
-    store.lossAge = readAge(reader);
+    store.outageAge = readAge(reader);
     reader.each([&](ArrayReader &it) { store.serverChanges.push_back(readChange(it)); });
     return store;
 }
--- a/src/libs/gateway/hostreport.h
+++ b/src/libs/gateway/hostreport.h
@@ -44,7 +44,7 @@
 };
 
 /// What the sender knows of the store.
-struct StoreKnowledge
+struct StoreState
 {
     std::uint64_t configurationVersion = 0;
     /// Of the backend servers that it would use.
@@ -57,9 +57,9 @@
     /// the question whose answer proved both current.
     std::optional<Base::Milliseconds> proofAge;
     /// Set while the store does not answer the sender: for how long, at the moment of sending.
-    std::optional<Base::Milliseconds> lossAge;
+    std::optional<Base::Milliseconds> outageAge;
 
-    bool operator==(const StoreKnowledge &) const = default;
+    bool operator==(const StoreState &) const = default;
 };
 
 /// What one gateway host tells others, several times a second. A newer report replaces an older
@@ -71,7 +71,7 @@
     /// Grows with each report of one incarnation, from a random start.
     std::uint64_t sequence = 0;
     ReportScope scope = ReportScope::Host;
-    StoreKnowledge store;
+    StoreState store;
     /// The newest sequence heard from hosts that take their knowledge of the store from this one,
     /// and whose work is in the load.
     std::map<Base::HostId, std::uint64_t> echoes;
--- a/src/libs/gateway/storereplica.cpp
+++ b/src/libs/gateway/storereplica.cpp
@@ -16,7 +16,7 @@
 constexpr Base::Duration returnGrace = milliseconds(2000);
 /// A host that finds no other one listed waits this long for one that starts with it, before it
 /// asks the store: the second reading of rows, and a report there and back.
-constexpr Base::Duration aloneAfter = milliseconds(2000);
+constexpr Base::Duration soleStartDelay = milliseconds(2000);
 
 Base::Duration leaseLength(Base::Milliseconds keyRevocation)
 {
@@ -30,7 +30,7 @@
 
 /// Of the hosts in \a rows the one to ask for copies: the first of the zone, which leads it if it
 /// lives, else the first of any zone.
-const HostRow *firstOf(const std::vector<HostRow> &rows, const HostRow &self)
+const HostRow *preferredCopySource(const std::vector<HostRow> &rows, const HostRow &self)
 {
     const HostRow *first = nullptr;
     const auto order = [&](const HostRow &row) {
@@ -61,7 +61,7 @@
     , m_keyRevocation(settings.keyRevocation)
     , m_times(StoreTimes::within(boundsOf(settings)))
     , m_store(parts.io, settings.storeAddress, parts.protocol, m_self, *this, parts.log)
-    , m_copies(parts.io, *this, parts.log)
+    , m_copyClient(parts.io, *this, parts.log)
     , m_handler(*this)
     , m_lease(leaseLength(settings.keyRevocation))
     , m_servers(returnGrace)
@@ -72,8 +72,9 @@
 
 Base::Result<void> StoreReplica::listen(const Settings::Address &peerAddress)
 {
-    BOOST_LEAF_ASSIGN(m_peers, HttpListener::create(m_parts.io, peerAddress,
-                                                    {m_handler, m_limits, m_parts.readBuffer}));
+    BOOST_LEAF_ASSIGN(
+        m_peerListener,
+        HttpListener::create(m_parts.io, peerAddress, {m_handler, m_limits, m_parts.readBuffer}));
     return {};
 }
 
@@ -86,11 +87,11 @@
     m_store.setDuty(readingDuty(now));
     m_store.setHeld(waitsForCopy(now));
     m_store.setFindsHosts(!m_parts.fleet.isLarge());
-    m_copies.advance(now);
+    m_copyClient.advance(now);
     m_store.advance(now);
 }
 
-void StoreReplica::takeSettings(const GatewaySettings &settings)
+void StoreReplica::applySettings(const GatewaySettings &settings)
 {
     m_keyRevocation = settings.keyRevocation;
     m_lease.setLength(leaseLength(settings.keyRevocation));
@@ -113,7 +114,7 @@
 {
     if (isKnown() || m_hasCopyFailed)
         return false;
-    return !m_parts.fleet.isLeader(now) || now - m_startedAt < aloneAfter;
+    return !m_parts.fleet.isLeader(now) || now - m_startedAt < soleStartDelay;
 }
 
 StoreClient::Duty StoreReplica::readingDuty(Base::TimePoint now) const
@@ -124,18 +125,19 @@
     if (m_store.isConfigurationMissing())
         return StoreClient::Duty::None;
     const std::optional<Base::Duration> age = m_lease.age(now);
-    const bool isOwnNeed = !m_table || !m_servers.isKnown() || !age || *age >= m_times.readAfter
-                           || now - m_serversProvedAt >= m_times.readAfter;
-    return isOwnNeed ? StoreClient::Duty::Self : StoreClient::Duty::None;
+    const bool needsOwnReading = !m_table || !m_servers.isKnown() || !age
+                                 || *age >= m_times.readAfter
+                                 || now - m_serversProvedAt >= m_times.readAfter;
+    return needsOwnReading ? StoreClient::Duty::Self : StoreClient::Duty::None;
 }
 
-StoreKnowledge StoreReplica::knowledge(Base::TimePoint now) const
+StoreState StoreReplica::storeState(Base::TimePoint now) const
 {
-    StoreKnowledge store;
+    StoreState store;
     store.configurationVersion = version();
     store.serversFingerprint = m_servers.fingerprint();
     if (const std::optional<Base::TimePoint> lostAt = m_servers.storeAwayAt())
-        store.lossAge = std::chrono::floor<Base::Milliseconds>(now - *lostAt);
+        store.outageAge = std::chrono::floor<Base::Milliseconds>(now - *lostAt);
     if (!m_ownProofAt || !m_servers.isKnown())
         return store;
     const Base::Duration age = now - std::min(*m_ownProofAt, m_serversProvedAt);
@@ -147,17 +149,17 @@
     return store;
 }
 
-void StoreReplica::takeReport(const HostReport &report, Base::TimePoint now)
+void StoreReplica::applyReport(const HostReport &report, Base::TimePoint now)
 {
     // This host may be the next to read, and its first reading come after the outage.
-    const StoreKnowledge &store = report.store;
-    if (store.lossAge)
-        m_servers.outageReported(now - *store.lossAge);
+    const StoreState &store = report.store;
+    if (store.outageAge)
+        m_servers.outageReported(now - *store.outageAge);
     if (!store.proofAge || report.self.zone != m_self.zone)
         return;
     const bool isOlder = version() < store.configurationVersion;
     if (isOlder)
-        m_copies.want(Knowledge::Configuration, report.self.peerAddress);
+        m_copyClient.want(Knowledge::Configuration, report.self.peerAddress);
     // Older than this host's own reading, it could bring back a server that is gone.
     const bool isNewEnough = store.serversVersion >= m_store.serversVersion();
     if (m_servers.isKnown() && isNewEnough) {
@@ -167,7 +169,7 @@
     const bool hasOtherServers = store.serversFingerprint != m_servers.fingerprint();
     // A leader's own reading is the newest there is.
     if (hasOtherServers && isNewEnough && !m_parts.fleet.isLeader(now))
-        m_copies.want(Knowledge::Servers, report.self.peerAddress);
+        m_copyClient.want(Knowledge::Servers, report.self.peerAddress);
     // The other host answered after this one's report was sent, so its question to the store was
     // sent at most the age that it tells before that moment, however long the answer was under way.
     const std::optional<Base::TimePoint> askedAt = m_parts.fleet.echoedSendTime(report);
@@ -180,8 +182,8 @@
         m_serversProvedAt = std::max(m_serversProvedAt, provedAt);
 }
 
-void StoreReplica::takeTable(std::shared_ptr<const Routing::RouteTable> table,
-                             const std::string &text)
+void StoreReplica::setTable(std::shared_ptr<const Routing::RouteTable> table,
+                            const std::string &text)
 {
     m_table = std::move(table);
     m_tableText = text;
@@ -190,13 +192,13 @@
                           .add("routes", m_table->configuration().routes.size())
                           .add("customers", m_table->configuration().customers.size()),
                       bootTimeNow());
-    m_parts.listener.configurationTaken();
+    m_parts.listener.configurationApplied();
 }
 
 void StoreReplica::configurationRead(std::shared_ptr<const Routing::RouteTable> table,
                                      const std::string &text)
 {
-    takeTable(std::move(table), text);
+    setTable(std::move(table), text);
 }
 
 void StoreReplica::configurationConfirmed(Base::TimePoint askedAt)
@@ -235,11 +237,11 @@
     if (isKnown() || std::exchange(m_hasReadHosts, true))
         return;
     // Hosts that start together find none, and nobody has a copy yet; reports tell who has one.
-    const HostRow *neighbour = firstOf(hosts, m_self);
-    if (!neighbour)
+    const HostRow *copySource = preferredCopySource(hosts, m_self);
+    if (!copySource)
         return;
-    m_copies.want(Knowledge::Configuration, neighbour->peerAddress);
-    m_copies.want(Knowledge::Servers, neighbour->peerAddress);
+    m_copyClient.want(Knowledge::Configuration, copySource->peerAddress);
+    m_copyClient.want(Knowledge::Servers, copySource->peerAddress);
 }
 
 std::vector<HostRow> StoreReplica::rowsToKeep() const
@@ -265,7 +267,7 @@
             const std::uint64_t copied = reading.configuration ? reading.configuration->version : 0;
             if (copied > version()) {
                 m_store.configurationCopied(copied);
-                takeTable(Routing::RouteTable::create(*reading.configuration), copy.text);
+                setTable(Routing::RouteTable::create(*reading.configuration), copy.text);
             }
             // The other host answered after it was asked, so its question to the store was sent at
             // most the age that it tells before that.
@@ -281,7 +283,7 @@
 }
 
 std::vector<Routing::ServerChange>
-StoreReplica::changesTo(const std::vector<Routing::ServerChange> &copy) const
+StoreReplica::changesToReach(const std::vector<Routing::ServerChange> &copy) const
 {
     std::vector<Routing::ServerChange> changes = copy;
     std::set<Base::ServerId> listed;
@@ -296,14 +298,14 @@
 
 void StoreReplica::serversCopied(const HostReport &report, Base::TimePoint askedAt)
 {
-    const StoreKnowledge &store = report.store;
+    const StoreState &store = report.store;
     if (!store.proofAge || store.serversVersion < m_store.serversVersion())
         return;
     const Base::TimePoint now = bootTimeNow();
     m_store.serversCopied(store.serversVersion);
     if (m_servers.isKnown()) {
-        m_parts.listener.serversChanged(m_servers.applyChanges(changesTo(store.serverChanges), now),
-                                        false);
+        m_parts.listener.serversChanged(
+            m_servers.applyChanges(changesToReach(store.serverChanges), now), false);
     } else {
         std::vector<Routing::RegisteredServer> servers;
         for (const Routing::ServerChange &it : store.serverChanges)
--- a/src/libs/gateway/storereplica.h
+++ b/src/libs/gateway/storereplica.h
@@ -27,9 +27,9 @@
 public:
     virtual ~StoreReplicaListener() = default;
     /// A newer configuration is in force.
-    virtual void configurationTaken() = 0;
+    virtual void configurationApplied() = 0;
     /// Servers came or went. Other hosts of the zone are to hear of it at once if \a isNews.
-    virtual void serversChanged(const Routing::ServerChanges &changes, bool isNews) = 0;
+    virtual void serversChanged(const Routing::ServerChanges &changes, bool notifiesZone) = 0;
     /// Slots and warm-up of servers may be others; none came or went by this.
     virtual void serversRead() = 0;
     virtual void unreadableChanged(const std::set<std::string> &entries) = 0;
@@ -64,9 +64,9 @@
 
     /// Does what is due. Call it every few ten milliseconds.
     void advance(Base::TimePoint now);
-    void checkConnections(Base::TimePoint now) { m_peers->checkTime(now); }
+    void checkConnections(Base::TimePoint now) { m_peerListener->checkTime(now); }
     /// Takes the bounds, which may change while the process runs.
-    void takeSettings(const GatewaySettings &settings);
+    void applySettings(const GatewaySettings &settings);
     /// This host leaves.
     void leave();
 
@@ -78,9 +78,9 @@
     /// Whether another host should read the store for the zone.
     bool isStoreLost(Base::TimePoint now) const;
     /// What a report of this host tells.
-    StoreKnowledge knowledge(Base::TimePoint now) const;
+    StoreState storeState(Base::TimePoint now) const;
     /// Takes what another host of the zone knows.
-    void takeReport(const HostReport &report, Base::TimePoint now);
+    void applyReport(const HostReport &report, Base::TimePoint now);
 
     void configurationRead(std::shared_ptr<const Routing::RouteTable> table,
                            const std::string &text) override;
@@ -106,10 +106,10 @@
     StoreClient::Duty readingDuty(Base::TimePoint now) const;
     /// Whether a host that has just started leaves the store alone and waits for a copy.
     bool waitsForCopy(Base::TimePoint now) const;
-    void takeTable(std::shared_ptr<const Routing::RouteTable> table, const std::string &text);
+    void setTable(std::shared_ptr<const Routing::RouteTable> table, const std::string &text);
     /// The changes that make this host's servers those of \a copy.
     std::vector<Routing::ServerChange>
-    changesTo(const std::vector<Routing::ServerChange> &copy) const;
+    changesToReach(const std::vector<Routing::ServerChange> &copy) const;
 
     Parts m_parts;
     HostRow m_self;
@@ -117,9 +117,9 @@
     StoreTimes m_times;
     ConnectionLimits m_limits;
     StoreClient m_store;
-    KnowledgeClient m_copies;
+    KnowledgeClient m_copyClient;
     KnowledgeHandler m_handler;
-    std::unique_ptr<HttpListener> m_peers;
+    std::unique_ptr<HttpListener> m_peerListener;
     std::shared_ptr<const Routing::RouteTable> m_table;
     /// The store's answer that the table was read from.
     std::string m_tableText;
--- a/tests/auto/gateway/tst_storereplica.cpp
+++ b/tests/auto/gateway/tst_storereplica.cpp
@@ -27,7 +27,7 @@
 class Listener final : public StoreReplicaListener
 {
 public:
-    void configurationTaken() override {}
+    void configurationApplied() override {}
     void serversChanged(const Routing::ServerChanges &, bool) override {}
     void serversRead() override {}
     void unreadableChanged(const std::set<std::string> &) override {}
@@ -78,7 +78,7 @@
         it.incarnation = 1;
         it.sequence = ++m_sequence;
         it.scope = scope;
-        it.store = replica->knowledge(now);
+        it.store = replica->storeState(now);
         m_view->addOtherHosts(it, now);
         if (scope == ReportScope::Host)
             m_view->recordSentReport(it.sequence, it.load, now);
@@ -87,7 +87,7 @@
     void receive(const HostReport &it, Base::TimePoint now)
     {
         if (m_view->receive(it, now))
-            replica->takeReport(it, now);
+            replica->applyReport(it, now);
     }
 
 private:
