--- a/src/libs/gateway/storereplica.cpp
+++ b/src/libs/gateway/storereplica.cpp
@@ -126,8 +126,8 @@
         return StoreClient::Duty::None;
     const std::optional<Base::Duration> age = m_lease.age(now);
     const bool needsOwnReading = !m_table || !m_servers.isKnown() || !age
-                                 || *age >= m_times.readAfter
-                                 || now - m_serversProvedAt >= m_times.readAfter;
+                                 || *age >= m_times.fallbackReadAge
+                                 || now - m_serversProvedAt >= m_times.fallbackReadAge;
     return needsOwnReading ? StoreClient::Duty::Self : StoreClient::Duty::None;
 }
 
@@ -329,7 +329,7 @@
 std::optional<ConfigurationCopy> StoreReplica::configurationCopy() const
 {
     const std::optional<Base::Duration> age = m_lease.age(bootTimeNow());
-    if (!m_table || !age || *age >= m_times.readAfter)
+    if (!m_table || !age || *age >= m_times.fallbackReadAge)
         return std::nullopt;
     return ConfigurationCopy{std::chrono::ceil<Base::Milliseconds>(*age), m_tableText};
 }
@@ -340,7 +340,7 @@
     const Base::Duration age = now - m_serversProvedAt;
     // A list that was read within the grace after an outage still has servers that are gone.
     const bool isWhole = m_servers.isKnown() && m_servers.isSettled(m_serversProvedAt);
-    if (!isWhole || age >= m_times.readAfter || isStoreLost(now))
+    if (!isWhole || age >= m_times.fallbackReadAge || isStoreLost(now))
         return std::nullopt;
     HostReport report;
     report.self.host = m_self.host;
--- a/src/libs/gateway/storetimes.cpp
+++ b/src/libs/gateway/storetimes.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 /// The bound that the times of a default StoreTimes are made for.
-constexpr double plainBoundMs = 2000;
+constexpr double defaultBoundMs = 2000;
 /// Shorter times would meet reports that are still under way.
-constexpr double leastStretch = 0.75;
+constexpr double minStretch = 0.75;
 /// Longer ones would show a server that crashed, or one that was added, later than callers notice.
-constexpr double mostStretch = 2;
+constexpr double maxStretch = 2;
 
 double milliseconds(Base::Milliseconds time)
 {
@@ -27,17 +27,17 @@
 
 StoreTimes StoreTimes::within(const ChangeBounds &bounds)
 {
-    const StoreTimes plain;
-    const double change = milliseconds(std::min(bounds.configuration, bounds.leaving));
+    const StoreTimes defaults;
+    const double changeBoundMs = milliseconds(std::min(bounds.configuration, bounds.leaving));
     // A host that reads itself must have its proof before the keys' time is over, also if its first
     // try is slow.
-    const double lease = milliseconds(bounds.keyRevocation) * leaseShare;
-    const double beforeLease =
-        (lease - milliseconds(2 * slowReading)) / milliseconds(plain.readAfter);
+    const double leaseMs = milliseconds(bounds.keyRevocation) * leaseShare;
+    const double leaseStretch =
+        (leaseMs - milliseconds(2 * slowReadLatency)) / milliseconds(defaults.fallbackReadAge);
     const double stretch =
-        std::clamp(std::min(change / plainBoundMs, beforeLease), leastStretch, mostStretch);
-    return {stretched(plain.watchWait, stretch), stretched(plain.serverInterval, stretch),
-            stretched(plain.readAfter, stretch)};
+        std::clamp(std::min(changeBoundMs / defaultBoundMs, leaseStretch), minStretch, maxStretch);
+    return {stretched(defaults.watchWait, stretch), stretched(defaults.serverInterval, stretch),
+            stretched(defaults.fallbackReadAge, stretch)};
 }
 
 } // namespace Gateway
--- a/src/libs/gateway/storetimes.h
+++ b/src/libs/gateway/storetimes.h
@@ -7,7 +7,7 @@
 /// Between two reports to the other hosts.
 inline constexpr Base::Milliseconds reportInterval{200};
 /// A reading in which the store is slowed down sixty times, and two ticks of this process.
-inline constexpr Base::Milliseconds slowReading{350};
+inline constexpr Base::Milliseconds slowReadLatency{350};
 /// Part of the time for which a key that was taken away may still be used. The rest covers the
 /// way from the caller, a slow turn of this process, and a store that answers from a state of a
 /// moment ago.
@@ -39,7 +39,7 @@
     /// down, or cut off from the store without having noticed. While all is well, proofs that come
     /// through another host are younger: the longer of the two intervals, and a report there and
     /// back.
-    Base::Milliseconds readAfter{1400};
+    Base::Milliseconds fallbackReadAge{1400};
 
     /// With these times a host that has to read itself still keeps all of \a bounds, if each is a
     /// second and a half at least.
--- a/tests/auto/gateway/tst_storereplica.cpp
+++ b/tests/auto/gateway/tst_storereplica.cpp
@@ -243,8 +243,8 @@
     zone.store.refused["/configuration"] = true;
     zone.store.version = 8;
     // Sooner than a host reads for itself that has had no proof.
-    CHECK(
-        zone.runUntil([&] { return zone.haveAll(8); }, StoreTimes().readAfter - milliseconds(400)));
+    CHECK(zone.runUntil([&] { return zone.haveAll(8); },
+                        StoreTimes().fallbackReadAge - milliseconds(400)));
 }
 
 TEST_CASE("hosts that start beside others take everything from them", "[gateway]")
--- a/tests/auto/gateway/tst_storetimes.cpp
+++ b/tests/auto/gateway/tst_storetimes.cpp
@@ -28,9 +28,9 @@
         const StoreTimes times = StoreTimes::within(bounds);
         // While all is well nobody but the readers asks.
         const auto longest = std::max(times.watchWait, times.serverInterval);
-        RC_ASSERT(longest + 2 * reportInterval < times.readAfter);
-        RC_ASSERT(times.readAfter + slowReading < bounds.configuration);
-        RC_ASSERT(times.readAfter + slowReading < bounds.leaving);
-        RC_ASSERT(times.readAfter + slowReading < bounds.keyRevocation * leaseShare);
+        RC_ASSERT(longest + 2 * reportInterval < times.fallbackReadAge);
+        RC_ASSERT(times.fallbackReadAge + slowReadLatency < bounds.configuration);
+        RC_ASSERT(times.fallbackReadAge + slowReadLatency < bounds.leaving);
+        RC_ASSERT(times.fallbackReadAge + slowReadLatency < bounds.keyRevocation * leaseShare);
     });
 }
