--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -288,12 +288,12 @@
 {
     if (!m_load.isDue(time))
         return;
-    LoadFigures figures;
-    figures.processorTime = processorTimeOfProcess();
-    figures.costFactor = m_backlog.costFactor();
-    m_services->showLevels(figures, time);
-    figures.reportAge = m_fleet.newestReportAge(time);
-    if (const auto line = m_load.line(figures, time))
+    LoadSample sample;
+    sample.processorTime = processorTimeOfProcess();
+    sample.costFactor = m_backlog.costFactor();
+    m_services->fillLevels(sample, time);
+    sample.reportAge = m_fleet.newestReportAge(time);
+    if (const auto line = m_load.line(sample, time))
         m_log.write(*line, time);
 }
 
@@ -380,7 +380,7 @@
         m_backlog.noteRequest(now());
     else if (!m_backlog.takesStream(accepted.work, now())) {
         m_services->service(accepted.service).dispatcher.turnedAwayBefore(accepted.work, now());
-        m_load.addPassedOver(accepted.customer);
+        m_load.addShedStream(accepted.customer);
         failure = Failure{FailureType::HostBehind, false, behindRetryAfter};
     }
     if (failure) {
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -152,7 +152,7 @@
     std::unique_ptr<HttpListener> m_discovery;
     EntryBoard m_entries;
     Routing::BacklogWatch m_backlog;
-    HostLoadCounts m_load;
+    HostLoadCounter m_load;
     /// Up to where the time with work is counted.
     Base::TimePoint m_busySince{};
     std::unique_ptr<Services> m_services;
--- a/src/libs/gateway/hostload.cpp
+++ b/src/libs/gateway/hostload.cpp
@@ -10,19 +10,19 @@
 namespace {
 
 constexpr Base::Duration lineInterval = std::chrono::seconds(1);
-constexpr std::size_t mostCustomers = 3;
+constexpr std::size_t maxNamedCustomers = 3;
 /// Customers that are counted: a line names those that had most, and memory has an end.
-constexpr std::size_t mostCounted = 1000;
+constexpr std::size_t maxCountedCustomers = 1000;
 
 /// "CUSTOMER:COUNT ..." of those that have most.
-std::string mostOf(const std::map<Base::CustomerId, std::size_t> &counts)
+std::string topCustomers(const std::map<Base::CustomerId, std::size_t> &counts)
 {
     std::vector<std::pair<std::size_t, Base::CustomerId>> sorted;
     for (const auto &[customer, count] : counts)
         sorted.emplace_back(count, customer);
     std::sort(sorted.rbegin(), sorted.rend());
     std::string text;
-    for (std::size_t i = 0; i < std::min(sorted.size(), mostCustomers); ++i) {
+    for (std::size_t i = 0; i < std::min(sorted.size(), maxNamedCustomers); ++i) {
         if (i > 0)
             text += ' ';
         text += sorted[i].second.value() + ':' + std::to_string(sorted[i].first);
@@ -32,57 +32,57 @@
 
 } // namespace
 
-void HostLoadCounts::addPassedOver(const Base::CustomerId &customer)
+void HostLoadCounter::addShedStream(const Base::CustomerId &customer)
 {
-    if (m_passedOver.size() < mostCounted || m_passedOver.contains(customer))
-        ++m_passedOver[customer];
+    if (m_shedStreams.size() < maxCountedCustomers || m_shedStreams.contains(customer))
+        ++m_shedStreams[customer];
 }
 
-void HostLoadCounts::addBusy(Base::TimePoint since, Base::TimePoint now)
+void HostLoadCounter::addBusy(Base::TimePoint since, Base::TimePoint now)
 {
     m_busy += std::max(now - since, Base::Duration::zero());
 }
 
-bool HostLoadCounts::isDue(Base::TimePoint now) const
+bool HostLoadCounter::isDue(Base::TimePoint now) const
 {
-    return now - m_toldAt >= lineInterval;
+    return now - m_loggedAt >= lineInterval;
 }
 
-std::optional<LogLine> HostLoadCounts::line(const LoadFigures &figures, Base::TimePoint now)
+std::optional<LogLine> HostLoadCounter::line(const LoadSample &sample, Base::TimePoint now)
 {
     if (!isDue(now))
         return std::nullopt;
     std::optional<LogLine> line;
     if (m_requests + m_refusals + m_events > 0) {
         line.emplace("host.load");
-        line->add("busyMs", m_busy - m_busyTold)
-            .add("processorMs", figures.processorTime - m_processorTold)
-            .add("costFactor", figures.costFactor)
+        line->add("busyMs", m_busy - m_loggedBusy)
+            .add("processorMs", sample.processorTime - m_loggedProcessorTime)
+            .add("costFactor", sample.costFactor)
             .add("requests", m_requests)
             .add("refusals", m_refusals)
             .add("events", m_events);
-        if (!m_passedOver.empty())
-            line->add("passedOver", mostOf(m_passedOver));
-        if (figures.shareLevel)
-            line->add("shareLevel", *figures.shareLevel);
-        if (figures.unmetLevel)
-            line->add("unmetLevel", *figures.unmetLevel);
-        if (figures.reportAge)
-            line->add("reportAgeMs", *figures.reportAge);
+        if (!m_shedStreams.empty())
+            line->add("passedOver", topCustomers(m_shedStreams));
+        if (sample.shareLevel)
+            line->add("shareLevel", *sample.shareLevel);
+        if (sample.unmetLevel)
+            line->add("unmetLevel", *sample.unmetLevel);
+        if (sample.reportAge)
+            line->add("reportAgeMs", *sample.reportAge);
     }
-    clear(figures, now);
+    clear(sample, now);
     return line;
 }
 
-void HostLoadCounts::clear(const LoadFigures &figures, Base::TimePoint now)
+void HostLoadCounter::clear(const LoadSample &sample, Base::TimePoint now)
 {
-    m_toldAt = now;
+    m_loggedAt = now;
     m_requests = 0;
     m_refusals = 0;
     m_events = 0;
-    m_passedOver.clear();
-    m_busyTold = m_busy;
-    m_processorTold = figures.processorTime;
+    m_shedStreams.clear();
+    m_loggedBusy = m_busy;
+    m_loggedProcessorTime = sample.processorTime;
 }
 
 } // namespace Gateway
--- a/src/libs/gateway/hostload.h
+++ b/src/libs/gateway/hostload.h
@@ -11,7 +11,7 @@
 namespace Gateway {
 
 /// What a line about the load tells beside the counts.
-struct LoadFigures
+struct LoadSample
 {
     /// Processor time of this process since its start.
     Base::Duration processorTime{};
@@ -25,32 +25,32 @@
 
 /// Counts what a host did in the last second, for a line of the log: which hosts are behind, and
 /// whose streams they pass over, stands in no other line when many are dropped.
-class HostLoadCounts
+class HostLoadCounter
 {
 public:
     void addRequest() { ++m_requests; }
     void addRefusal() { ++m_refusals; }
     void addEvents(std::size_t count) { m_events += count; }
-    void addPassedOver(const Base::CustomerId &customer);
+    void addShedStream(const Base::CustomerId &customer);
     /// There was work from \a since on, or longer, and none is left at \a now.
     void addBusy(Base::TimePoint since, Base::TimePoint now);
     /// Time since the start in which there was work.
     Base::Duration busyTime() const { return m_busy; }
     /// The line, once a second while there is load; empty otherwise.
-    std::optional<LogLine> line(const LoadFigures &figures, Base::TimePoint now);
+    std::optional<LogLine> line(const LoadSample &sample, Base::TimePoint now);
     bool isDue(Base::TimePoint now) const;
 
 private:
-    void clear(const LoadFigures &figures, Base::TimePoint now);
+    void clear(const LoadSample &sample, Base::TimePoint now);
 
     std::size_t m_requests = 0;
     std::size_t m_refusals = 0;
     std::size_t m_events = 0;
-    std::map<Base::CustomerId, std::size_t> m_passedOver;
+    std::map<Base::CustomerId, std::size_t> m_shedStreams;
     Base::Duration m_busy{};
-    Base::Duration m_busyTold{};
-    Base::Duration m_processorTold{};
-    Base::TimePoint m_toldAt{};
+    Base::Duration m_loggedBusy{};
+    Base::Duration m_loggedProcessorTime{};
+    Base::TimePoint m_loggedAt{};
 };
 
 } // namespace Gateway
--- a/src/libs/gateway/services.cpp
+++ b/src/libs/gateway/services.cpp
@@ -119,7 +119,7 @@
         it.dispatcher.report(load, now);
 }
 
-void Services::showLevels(LoadFigures &figures, Base::TimePoint now)
+void Services::fillLevels(LoadSample &sample, Base::TimePoint now)
 {
     const auto takeLower = [](std::optional<double> &lowest, double level) {
         // A log line has no way to write infinity.
@@ -129,8 +129,8 @@
     for (auto &[name, it] : m_services) {
         if (!traitsOf(name).isEngine)
             continue;
-        takeLower(figures.shareLevel, it.dispatcher.shareLevel(now));
-        takeLower(figures.unmetLevel, it.dispatcher.unmetLevel());
+        takeLower(sample.shareLevel, it.dispatcher.shareLevel(now));
+        takeLower(sample.unmetLevel, it.dispatcher.unmetLevel());
     }
 }
 
--- a/src/libs/gateway/services.h
+++ b/src/libs/gateway/services.h
@@ -44,7 +44,7 @@
     void learnPartUses(const std::vector<Routing::PartUse> &uses, Base::TimePoint now);
 
     /// Fills in the levels of \a figures.
-    void showLevels(LoadFigures &figures, Base::TimePoint now);
+    void fillLevels(LoadSample &sample, Base::TimePoint now);
     /// Adds the work of all services to \a load, for a report.
     void report(Routing::HostLoad &load, Base::TimePoint now);
     /// Hands each service's decisions that time brings to \a apply, before the next service
--- a/tests/auto/gateway/tst_hostload.cpp
+++ b/tests/auto/gateway/tst_hostload.cpp
@@ -12,31 +12,31 @@
     // Guards against a host that is behind for seconds and whose log does not say whose streams it
     // turns away.
     const Base::TimePoint start{seconds(100)};
-    HostLoadCounts counts;
-    LoadFigures figures;
-    CHECK_FALSE(counts.line(figures, start));
+    HostLoadCounter counts;
+    LoadSample sample;
+    CHECK_FALSE(counts.line(sample, start));
     for (int i = 0; i < 10; ++i) {
         for (int j = 0; j <= i; ++j)
-            counts.addPassedOver(Base::CustomerId("c" + std::to_string(i)));
+            counts.addShedStream(Base::CustomerId("c" + std::to_string(i)));
     }
     counts.addRequest();
     counts.addRefusal();
     counts.addEvents(12);
     counts.addBusy(start, start + milliseconds(700));
-    figures.processorTime = milliseconds(60);
-    figures.costFactor = 1.5;
-    figures.shareLevel = 2000;
-    CHECK_FALSE(counts.line(figures, start + milliseconds(900)));
-    const auto line = counts.line(figures, start + seconds(1));
+    sample.processorTime = milliseconds(60);
+    sample.costFactor = 1.5;
+    sample.shareLevel = 2000;
+    CHECK_FALSE(counts.line(sample, start + milliseconds(900)));
+    const auto line = counts.line(sample, start + seconds(1));
     REQUIRE(line);
     CHECK(line->text().ends_with(
         "\"event\":\"host.load\",\"busyMs\":700,\"processorMs\":60,\"costFactor\":1.500,"
         "\"requests\":1,\"refusals\":1,\"events\":12,\"passedOver\":\"c9:10 c8:9 c7:8\","
         "\"shareLevel\":2000.000}\n"));
     // Nothing more came.
-    CHECK_FALSE(counts.line(figures, start + seconds(2)));
+    CHECK_FALSE(counts.line(sample, start + seconds(2)));
     counts.addEvents(1);
-    const auto next = counts.line(figures, start + seconds(3));
+    const auto next = counts.line(sample, start + seconds(3));
     REQUIRE(next);
     CHECK(next->text().find("\"busyMs\":0,\"processorMs\":0") != std::string::npos);
     CHECK(next->text().find("passedOver") == std::string::npos);
