--- a/src/libs/gateway/entryboard.cpp
+++ b/src/libs/gateway/entryboard.cpp
@@ -5,8 +5,8 @@
 
 namespace Gateway {
 
-void EntryBoard::update(const std::vector<MemberState> &others, const MemberState &self,
-                        Base::TimePoint now)
+void EntryHostSelector::update(const std::vector<MemberState> &others, const MemberState &self,
+                               Base::TimePoint now)
 {
     std::vector<MemberState> members = others;
     if (self.isServing || (members.empty() && !self.isLeaving))
@@ -21,7 +21,7 @@
     m_selection.update(std::move(hosts), now);
 }
 
-std::vector<std::string> EntryBoard::addresses() const
+std::vector<std::string> EntryHostSelector::addresses() const
 {
     std::vector<std::string> addresses;
     for (const Routing::EntryHost &it : m_selection.chosen())
@@ -29,16 +29,16 @@
     return addresses;
 }
 
-double EntryBoard::trafficShare(const Base::HostId &self, Base::TimePoint now) const
+double EntryHostSelector::trafficShare(const Base::HostId &self, Base::TimePoint now) const
 {
     // Half by what is forwarded: callers may stay with a host that is not named to them. Half in
     // equal parts to the hosts that are named, since those get what is to come.
-    const double named = static_cast<double>(m_selection.chosen().size());
-    const double ofNamed = m_selection.isChosen(self) ? 1.0 / named : 0.0;
+    const double namedHosts = static_cast<double>(m_selection.chosen().size());
+    const double namedShare = m_selection.isChosen(self) ? 1.0 / namedHosts : 0.0;
     if (m_fleetLoad <= 0)
-        return ofNamed;
-    const double ofLoad = std::min(1.0, load(now) / m_fleetLoad);
-    return (ofLoad + ofNamed) / 2;
+        return namedShare;
+    const double loadShare = std::min(1.0, load(now) / m_fleetLoad);
+    return (loadShare + namedShare) / 2;
 }
 
 } // namespace Gateway
--- a/src/libs/gateway/entryboard.h
+++ b/src/libs/gateway/entryboard.h
@@ -11,7 +11,7 @@
 namespace Gateway {
 
 /// Which hosts callers are told of, and what part of the fleet's traffic is this host's.
-class EntryBoard
+class EntryHostSelector
 {
 public:
     void setCostFactor(double factor) { m_forwarding.setCostFactor(factor); }
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -150,7 +150,7 @@
     std::unique_ptr<HttpListener> m_callers;
     std::unique_ptr<HttpListener> m_readiness;
     std::unique_ptr<HttpListener> m_discovery;
-    EntryBoard m_entries;
+    EntryHostSelector m_entries;
     Routing::BacklogWatch m_backlog;
     HostLoadCounter m_load;
     /// Up to where the time with work is counted.
--- a/tests/auto/gateway/tst_entryboard.cpp
+++ b/tests/auto/gateway/tst_entryboard.cpp
@@ -37,47 +37,47 @@
 {
     // A customer's callers stay with a small host that nobody is told of, and get 503 although
     // servers have room: a host that is not named had four connections to each server.
-    EntryBoard board;
+    EntryHostSelector selector;
     Base::TimePoint now = start;
     for (int i = 0; i < 4000; ++i) {
         now += milliseconds(2);
-        board.addEvents(5, now);
+        selector.addEvents(5, now);
     }
     // About 100 ms of processor time a second, as much as each of the others.
-    const MemberState self = member("weak", 120, board.load(now));
+    const MemberState self = member("weak", 120, selector.load(now));
     CHECK(self.load >= 95);
     CHECK(self.load <= 105);
-    board.update(strongHosts(100), self, now);
-    CHECK(board.addresses().size() >= 8);
-    const double share = board.trafficShare(self.host, now);
+    selector.update(strongHosts(100), self, now);
+    CHECK(selector.addresses().size() >= 8);
+    const double share = selector.trafficShare(self.host, now);
     CHECK(share > 0.03);
     CHECK(share < 0.06);
 }
 
 TEST_CASE("before there is traffic the named hosts share the connections alike", "[gateway]")
 {
-    EntryBoard board;
+    EntryHostSelector selector;
     const MemberState self = member("strong-9", 500, 0);
     std::vector<MemberState> others = strongHosts(0);
     others.pop_back();
     others.resize(3);
-    board.update(others, self, start);
-    CHECK(board.addresses().size() == 4);
-    CHECK(board.trafficShare(self.host, start) == Approx(0.25));
-    CHECK(board.trafficShare(Base::HostId("other"), start) == 0);
+    selector.update(others, self, start);
+    CHECK(selector.addresses().size() == 4);
+    CHECK(selector.trafficShare(self.host, start) == Approx(0.25));
+    CHECK(selector.trafficShare(Base::HostId("other"), start) == 0);
 }
 
 TEST_CASE("a host that cannot serve names itself only if nobody else is there", "[gateway]")
 {
-    EntryBoard board;
+    EntryHostSelector selector;
     MemberState self = member("self", 500, 0);
     self.isServing = false;
-    board.update({}, self, start);
-    CHECK(board.addresses() == std::vector<std::string>{"self:8000"});
-    board.update(strongHosts(0), self, start);
-    for (const std::string &address : board.addresses())
+    selector.update({}, self, start);
+    CHECK(selector.addresses() == std::vector<std::string>{"self:8000"});
+    selector.update(strongHosts(0), self, start);
+    for (const std::string &address : selector.addresses())
         CHECK(address != "self:8000");
     self.isLeaving = true;
-    board.update({}, self, start);
-    CHECK(board.addresses().empty());
+    selector.update({}, self, start);
+    CHECK(selector.addresses().empty());
 }
