--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -25,18 +25,18 @@
 constexpr std::size_t readBufferBytes = 65536;
 /// Part of a server's connections that the hosts together open: hosts come and go, and a server
 /// that is busy takes fewer.
-constexpr double connectionShare = 0.8;
-constexpr std::size_t leastConnections = 4;
+constexpr double openConnectionShare = 0.8;
+constexpr std::size_t minConnections = 4;
 /// Within the grace: requests that come later than this after SIGTERM and may take long are sent
 /// elsewhere, and the process ends this long before it would be killed.
-constexpr double longWorkShare = 0.35;
-constexpr double endShare = 0.9;
+constexpr double longWorkCutoffShare = 0.35;
+constexpr double forcedStopShare = 0.9;
 /// Another host may take it at once; this one is idle again only when open streams have ended.
-constexpr Base::Milliseconds behindRetryAfter{400};
+constexpr Base::Milliseconds overloadRetryAfter{400};
 /// Callers keep an entry list for some seconds; a process that has nothing to do ends after them.
-constexpr double quietShare = 0.65;
+constexpr double idleStopShare = 0.65;
 
-Base::Duration part(Base::Duration whole, double share)
+Base::Duration fractionOf(Base::Duration whole, double share)
 {
     return std::chrono::duration_cast<Base::Duration>(whole * share);
 }
@@ -48,7 +48,7 @@
         std::chrono::duration_cast<std::chrono::microseconds>(since).count());
 }
 
-Base::Duration processorTimeOfProcess()
+Base::Duration processCpuTime()
 {
     timespec time{};
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &time);
@@ -57,7 +57,7 @@
 }
 
 /// Sequences of two starts of one host must not meet: an echo of an older one proves nothing.
-std::uint64_t randomStart()
+std::uint64_t randomSequenceStart()
 {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 28) + device();
@@ -86,7 +86,7 @@
     , m_fleet(settings.host, settings.zone)
     , m_backlog(settings.processor)
     , m_incarnation(newIncarnation())
-    , m_reportSequence(randomStart())
+    , m_reportSequence(randomSequenceStart())
 {}
 
 Base::Result<void> Gateway::listen()
@@ -165,11 +165,11 @@
 {
     while (!m_io.stopped()) {
         m_io.run_one();
-        if (!m_looksForIdle)
+        if (!m_isIdleCheckDue)
             continue;
         // Returns when nothing is ready. Looked for once a tick, since it is a system call more.
         m_io.poll();
-        m_looksForIdle = false;
+        m_isIdleCheckDue = false;
         const Base::TimePoint time = now();
         m_backlog.noteIdle(time);
         m_load.addBusy(m_busySince, time);
@@ -245,10 +245,10 @@
 {
     const Base::TimePoint time = now();
     // Not idle since the tick before.
-    if (m_looksForIdle)
+    if (m_isIdleCheckDue)
         m_load.addBusy(m_busySince, time);
     m_busySince = time;
-    m_looksForIdle = true;
+    m_isIdleCheckDue = true;
     m_replica->advance(time);
     std::vector<std::shared_ptr<Exchange>> open;
     open.reserve(m_exchanges.size());
@@ -289,7 +289,7 @@
     if (!m_load.isDue(time))
         return;
     LoadSample sample;
-    sample.processorTime = processorTimeOfProcess();
+    sample.processorTime = processCpuTime();
     sample.costFactor = m_backlog.costFactor();
     m_services->fillLevels(sample, time);
     sample.reportAge = m_fleet.newestReportAge(time);
@@ -297,7 +297,7 @@
         m_log.write(*line, time);
 }
 
-MemberState Gateway::memberOfThisHost(Base::TimePoint time) const
+MemberState Gateway::ownMemberState(Base::TimePoint time) const
 {
     MemberState self;
     self.host = m_settings.host;
@@ -308,14 +308,14 @@
     self.isServing = isReady() && m_replica->lease().isHeld(time);
     self.isStoreLost = m_replica->isStoreLost(time);
     self.capacity = m_settings.processor;
-    self.load = m_entries.load(time);
+    self.load = m_entryHosts.load(time);
     return self;
 }
 
-HostReport Gateway::reportOfThisHost(Base::TimePoint time) const
+HostReport Gateway::ownReport(Base::TimePoint time) const
 {
     HostReport report;
-    report.self = memberOfThisHost(time);
+    report.self = ownMemberState(time);
     report.incarnation = m_incarnation;
     report.store = m_replica->storeState(time);
     return report;
@@ -324,8 +324,8 @@
 void Gateway::report(Base::TimePoint time)
 {
     m_nextReport = time + reportInterval;
-    m_entries.setCostFactor(m_backlog.costFactor());
-    HostReport own = reportOfThisHost(time);
+    m_entryHosts.setCostFactor(m_backlog.costFactor());
+    HostReport own = ownReport(time);
     m_services->report(own.load, time);
     for (const DueReport &order : m_fleet.dueReports(time)) {
         HostReport report = own;
@@ -339,7 +339,7 @@
     }
     m_fleet.updateTotals(time);
     m_services->othersChanged();
-    m_entries.update(m_fleet.servingMembers(time), memberOfThisHost(time), time);
+    m_entryHosts.update(m_fleet.servingMembers(time), ownMemberState(time), time);
     limitConnections();
 }
 
@@ -347,12 +347,12 @@
 {
     if (!m_replica->table())
         return;
-    std::size_t connections = leastConnections;
+    std::size_t connections = minConnections;
     for (const Routing::Service &it : m_replica->table()->configuration().services)
         connections = std::max<std::size_t>(connections, it.maxConnections);
-    const double share = m_entries.trafficShare(m_settings.host, bootTimeNow());
-    const double part = static_cast<double>(connections) * connectionShare * share;
-    m_pool.setLimit(std::max(leastConnections, static_cast<std::size_t>(part)));
+    const double share = m_entryHosts.trafficShare(m_settings.host, bootTimeNow());
+    const double limit = static_cast<double>(connections) * openConnectionShare * share;
+    m_pool.setLimit(std::max(minConnections, static_cast<std::size_t>(limit)));
 }
 
 void Gateway::reportReceived(const HostReport &report)
@@ -367,12 +367,13 @@
 std::shared_ptr<ActiveRequest> Gateway::handle(CallerRequest request, AnswerSink &sink)
 {
     AcceptedRequest accepted;
-    accepted.id = ++m_lastWork;
+    accepted.id = ++m_lastWorkId;
     accepted.request = std::move(request);
     accepted.requestId = std::string(field(accepted.request.message, m_adapter.names.requestId));
     ExaminedWith known{m_replica->table(), m_replica->servers().isKnown(), mayUseKeys(), false};
     known.isLeavingSoon =
-        m_leavingSince && now() - *m_leavingSince >= part(m_settings.shutdownGrace, longWorkShare);
+        m_leavingSince
+        && now() - *m_leavingSince >= fractionOf(m_settings.shutdownGrace, longWorkCutoffShare);
     std::optional<Failure> failure = m_examiner.examine(accepted, known);
     if (failure)
         m_backlog.noteRefusal(now());
@@ -381,7 +382,7 @@
     else if (!m_backlog.takesStream(accepted.work, now())) {
         m_services->service(accepted.service).dispatcher.turnedAwayBefore(accepted.work, now());
         m_load.addShedStream(accepted.customer);
-        failure = Failure{FailureType::HostBehind, false, behindRetryAfter};
+        failure = Failure{FailureType::HostBehind, false, overloadRetryAfter};
     }
     if (failure) {
         m_load.addRefusal();
@@ -396,7 +397,7 @@
         return nullptr;
     }
     m_services->service(accepted.service).retries.recordRequest(now());
-    m_entries.addRequest(now());
+    m_entryHosts.addRequest(now());
     m_load.addRequest();
     const Routing::WorkId id = accepted.id;
     auto exchange = std::make_shared<Exchange>(*this, std::move(accepted), sink);
@@ -514,7 +515,7 @@
 
 void Gateway::eventsForwarded(std::size_t count)
 {
-    m_entries.addEvents(count, now());
+    m_entryHosts.addEvents(count, now());
     m_backlog.noteEvents(count);
     m_load.addEvents(count);
 }
@@ -597,8 +598,9 @@
     if (!m_leavingSince)
         return;
     const Base::Duration age = time - *m_leavingSince;
-    const bool isQuiet = m_exchanges.empty() && age >= part(m_settings.shutdownGrace, quietShare);
-    if (isQuiet || age >= part(m_settings.shutdownGrace, endShare))
+    const bool isQuiet =
+        m_exchanges.empty() && age >= fractionOf(m_settings.shutdownGrace, idleStopShare);
+    if (isQuiet || age >= fractionOf(m_settings.shutdownGrace, forcedStopShare))
         m_io.stop();
 }
 
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -95,7 +95,7 @@
     void unreadableChanged(const std::set<std::string> &entries) override;
     void storeAnswered(const char *call, bool isGood) override;
 
-    std::vector<std::string> entryAddresses() const override { return m_entries.addresses(); }
+    std::vector<std::string> entryAddresses() const override { return m_entryHosts.addresses(); }
     void eventsForwarded(std::size_t count) override;
     std::chrono::seconds entryListMaxAge() const override { return m_settings.entryListMaxAge; }
     bool isReady() const override;
@@ -114,8 +114,8 @@
     void report(Base::TimePoint now);
     /// Shares out the connections that each server takes.
     void limitConnections();
-    MemberState memberOfThisHost(Base::TimePoint now) const;
-    HostReport reportOfThisHost(Base::TimePoint now) const;
+    MemberState ownMemberState(Base::TimePoint now) const;
+    HostReport ownReport(Base::TimePoint now) const;
     void reportReceived(const HostReport &report);
 
     /// Writes the line about this host's load, once a second.
@@ -150,7 +150,7 @@
     std::unique_ptr<HttpListener> m_callers;
     std::unique_ptr<HttpListener> m_readiness;
     std::unique_ptr<HttpListener> m_discovery;
-    EntryHostSelector m_entries;
+    EntryHostSelector m_entryHosts;
     Routing::BacklogWatch m_backlog;
     HostLoadCounter m_load;
     /// Up to where the time with work is counted.
@@ -161,13 +161,13 @@
     std::deque<Routing::Decisions> m_decisions;
     Base::Incarnation m_incarnation = 0;
     std::uint64_t m_reportSequence = 0;
-    Routing::WorkId m_lastWork = 0;
+    Routing::WorkId m_lastWorkId = 0;
     Base::TimePoint m_nextReport{};
     Base::TimePoint m_nextSlowCheck{};
     std::optional<Base::TimePoint> m_leavingSince;
     std::size_t m_unreadableEntries = 0;
     bool m_isApplying = false;
-    bool m_looksForIdle = false;
+    bool m_isIdleCheckDue = false;
     bool m_wasLeaseHeld = false;
 };
 
