--- a/src/libs/gateway/hostreport.cpp
+++ b/src/libs/gateway/hostreport.cpp
@@ -12,8 +12,8 @@
 using Json = nlohmann::json;
 
 /// First element of a report; another number is another form, which is not read.
-constexpr std::uint64_t form = 8;
-constexpr double millisecondsOfSecond = 1000;
+constexpr std::uint64_t formatVersion = 8;
+constexpr double millisecondsPerSecond = 1000;
 constexpr std::uint64_t largestScope = static_cast<std::uint64_t>(ReportScope::Fleet);
 
 /// Reads the elements of an array one after the other. After the first that is missing or of
@@ -43,7 +43,7 @@
     }
     /// Calls \a read with a reader of each element of an array of arrays.
     template <typename Read>
-    void each(Read read)
+    void forEach(Read read)
     {
         const Json *json = next();
         if (!json || !check(json->is_array()))
@@ -108,7 +108,7 @@
 
 void readAmounts(ArrayReader &reader, Amounts &amounts)
 {
-    reader.each([&](ArrayReader &it) {
+    reader.forEach([&](ArrayReader &it) {
         const Base::CustomerId customer(it.text());
         amounts[customer] = static_cast<double>(it.number());
     });
@@ -126,14 +126,14 @@
             amountsJson(load.asked),
             amountsJson(load.received),
             amountsJson(load.begun),
-            static_cast<std::uint64_t>(load.askedSeconds * millisecondsOfSecond),
+            static_cast<std::uint64_t>(load.askedSeconds * millisecondsPerSecond),
             std::move(uses)};
 }
 
 Routing::HostLoad readLoad(ArrayReader &reader)
 {
     Routing::HostLoad load;
-    reader.each([&](ArrayReader &it) {
+    reader.forEach([&](ArrayReader &it) {
         const Base::ServerId id(it.text());
         const auto running = static_cast<std::uint32_t>(it.number());
         load.servers[id] = {running, static_cast<std::uint32_t>(it.number())};
@@ -141,8 +141,8 @@
     readAmounts(reader, load.asked);
     readAmounts(reader, load.received);
     readAmounts(reader, load.begun);
-    load.askedSeconds = static_cast<double>(reader.number()) / millisecondsOfSecond;
-    reader.each([&](ArrayReader &it) {
+    load.askedSeconds = static_cast<double>(reader.number()) / millisecondsPerSecond;
+    reader.forEach([&](ArrayReader &it) {
         Routing::PartUse use;
         use.server = Base::ServerId(it.text());
         use.hash = it.number();
@@ -224,7 +224,7 @@
     store.serversVersion = reader.number();
     store.proofAge = readAge(reader);
     store.outageAge = readAge(reader);
-    reader.each([&](ArrayReader &it) { store.serverChanges.push_back(readChange(it)); });
+    reader.forEach([&](ArrayReader &it) { store.serverChanges.push_back(readChange(it)); });
     return store;
 }
 
@@ -250,7 +250,7 @@
     Json members = Json::array();
     for (const MemberState &member : report.members)
         members.push_back(memberJson(member));
-    const Json json = {form,
+    const Json json = {formatVersion,
                        report.incarnation,
                        report.sequence,
                        static_cast<std::uint64_t>(report.scope),
@@ -269,19 +269,19 @@
     const Json json = parseCbor(bytes);
     ArrayReader reader(json);
     HostReport report;
-    const bool isForm = reader.number() == form;
+    const bool hasKnownFormat = reader.number() == formatVersion;
     report.incarnation = reader.number();
     report.sequence = reader.number();
     const std::uint64_t scope = reader.number();
-    reader.each([&](ArrayReader &it) { report.self = readMember(it); });
-    reader.each([&](ArrayReader &it) { report.store = readStore(it); });
-    reader.each([&](ArrayReader &it) {
+    reader.forEach([&](ArrayReader &it) { report.self = readMember(it); });
+    reader.forEach([&](ArrayReader &it) { report.store = readStore(it); });
+    reader.forEach([&](ArrayReader &it) {
         const Base::HostId host(it.text());
         report.echoes[host] = it.number();
     });
-    reader.each([&](ArrayReader &it) { report.members.push_back(readMember(it)); });
-    reader.each([&](ArrayReader &it) { report.load = readLoad(it); });
-    if (!isForm || !reader.isGood() || scope > largestScope || report.self.host.isEmpty())
+    reader.forEach([&](ArrayReader &it) { report.members.push_back(readMember(it)); });
+    reader.forEach([&](ArrayReader &it) { report.load = readLoad(it); });
+    if (!hasKnownFormat || !reader.isGood() || scope > largestScope || report.self.host.isEmpty())
         return boost::leaf::new_error(MalformedReport());
     report.scope = static_cast<ReportScope>(scope);
     return report;
--- a/src/libs/gateway/services.cpp
+++ b/src/libs/gateway/services.cpp
@@ -9,7 +9,7 @@
 
 /// One server's reading speed over its part of the whole throughput. The throughput counts what
 /// is generated twice; a server that only reads is about this much faster.
-constexpr double readingFactor = 1.15;
+constexpr double prefillFactor = 1.15;
 
 /// Empty if the configuration does not tell what moving the memory of a token takes.
 std::optional<double> moveMsPerToken(const Routing::EngineTraits &engine)
@@ -68,7 +68,7 @@
     const auto throughput = static_cast<double>(table->configuration().limits.tokensPerSecond);
     traits.sharedTokensPerSecond = throughput;
     if (servers > 0)
-        traits.readTokensPerMs = throughput * readingFactor / static_cast<double>(servers) / 1000;
+        traits.readTokensPerMs = throughput * prefillFactor / static_cast<double>(servers) / 1000;
     return traits;
 }
 
@@ -121,7 +121,7 @@
 
 void Services::fillLevels(LoadSample &sample, Base::TimePoint now)
 {
-    const auto takeLower = [](std::optional<double> &lowest, double level) {
+    const auto keepLower = [](std::optional<double> &lowest, double level) {
         // A log line has no way to write infinity.
         if (std::isfinite(level) && (!lowest || level < *lowest))
             lowest = level;
@@ -129,8 +129,8 @@
     for (auto &[name, it] : m_services) {
         if (!traitsOf(name).isEngine)
             continue;
-        takeLower(sample.shareLevel, it.dispatcher.shareLevel(now));
-        takeLower(sample.unmetLevel, it.dispatcher.unmetLevel());
+        keepLower(sample.shareLevel, it.dispatcher.shareLevel(now));
+        keepLower(sample.unmetLevel, it.dispatcher.unmetLevel());
     }
 }
 
