--- a/tests/auto/gateway/tst_exchange.cpp
+++ b/tests/auto/gateway/tst_exchange.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-class Sink final : public AnswerSink
+class RecordingSink final : public AnswerSink
 {
 public:
     void sendAnswer(const ResponseHead &head, std::string_view) override
@@ -39,17 +39,17 @@
 };
 
 /// A gateway of one server, which places work when it is told to.
-class Port final : public ExchangePort
+class SingleServerPort final : public ExchangePort
 {
 public:
-    Port()
+    SingleServerPort()
         : m_null(open("/dev/null", O_WRONLY | O_CLOEXEC))
         , m_log(m_null, 0)
         , m_pool(m_io, m_names, m_buffer)
     {}
-    ~Port() override { close(m_null); }
-    Port(const Port &) = delete;
-    Port &operator=(const Port &) = delete;
+    ~SingleServerPort() override { close(m_null); }
+    SingleServerPort(const SingleServerPort &) = delete;
+    SingleServerPort &operator=(const SingleServerPort &) = delete;
 
     void submitWork(const std::string &, Routing::Work work) override { submitted = work.id; }
     void withdrawWork(const std::string &, Routing::WorkId) override {}
@@ -75,7 +75,7 @@
     void requestEnded(const EndedRequest &request) override { ended.push_back(request.outcome); }
     void exchangeFinished(Routing::WorkId) override {}
 
-    std::shared_ptr<Exchange> exchange(Sink &sink)
+    std::shared_ptr<Exchange> exchange(RecordingSink &sink)
     {
         AcceptedRequest accepted;
         accepted.id = 1;
@@ -131,8 +131,8 @@
 // Guards against servers that work for callers who left while their request lay unread.
 TEST_CASE("a request whose caller has left is not sent", "[gateway]")
 {
-    Port port;
-    Sink sink;
+    SingleServerPort port;
+    RecordingSink sink;
     const std::shared_ptr<Exchange> exchange = port.exchange(sink);
     REQUIRE(port.submitted == 1);
     sink.isGone = true;
@@ -147,8 +147,8 @@
 
 TEST_CASE("a request whose caller waits is sent to its server", "[gateway]")
 {
-    Port port;
-    Sink sink;
+    SingleServerPort port;
+    RecordingSink sink;
     const std::shared_ptr<Exchange> exchange = port.exchange(sink);
     exchange->placed(port.placement());
     REQUIRE(port.backend.isCalled());
--- a/tests/auto/gateway/tst_fleetview.cpp
+++ b/tests/auto/gateway/tst_fleetview.cpp
@@ -61,12 +61,12 @@
 }
 
 /// Hosts of several zones that send each other what is due, each 200 ms; some may be down.
-class Hosts
+class SimulatedFleet
 {
     struct Host;
 
 public:
-    Hosts(int zones, int hostsOfZone)
+    SimulatedFleet(int zones, int hostsOfZone)
     {
         std::vector<HostRow> &rows = m_rows;
         for (int zone = 0; zone < zones; ++zone) {
@@ -87,7 +87,7 @@
     {
         m_now = now;
         m_datagrams = 0;
-        m_toldUses = 0;
+        m_sentUses = 0;
         for (Host &host : m_hosts) {
             if (!host.isDown)
                 sendDue(host, now);
@@ -99,7 +99,7 @@
     }
 
     /// As step(), but each host at a time of its own within the 200 ms.
-    void stepInTurns(Base::TimePoint now)
+    void stepStaggered(Base::TimePoint now)
     {
         constexpr std::size_t turns = 4;
         for (std::size_t turn = 0; turn < turns; ++turn) {
@@ -132,7 +132,7 @@
             host.view->addRelayedUses(it);
             if (order.scope == ReportScope::Host)
                 host.view->recordSentReport(it.sequence, own, now);
-            m_toldUses += it.load.partUses.size() * order.receivers.size();
+            m_sentUses += it.load.partUses.size() * order.receivers.size();
             for (const std::string &address : order.receivers)
                 deliver(address, it, now);
         }
@@ -141,14 +141,14 @@
     void deliver(const std::string &address, const HostReport &it, Base::TimePoint now)
     {
         ++m_datagrams;
-        if (m_lostOfHundred > 0
-            && std::uniform_int_distribution<int>(0, 99)(m_random) < m_lostOfHundred)
+        if (m_lossPercent > 0
+            && std::uniform_int_distribution<int>(0, 99)(m_random) < m_lossPercent)
             return;
         for (Host &host : m_hosts) {
             if (host.self.peerAddress != address || host.isDown)
                 continue;
             if (host.view->receive(it, now))
-                host.heardUses += it.load.partUses.size();
+                host.receivedUses += it.load.partUses.size();
             return;
         }
     }
@@ -159,9 +159,9 @@
         for (std::uint64_t part = 0; part < count; ++part)
             m_hosts[i].newUses.push_back({Base::ServerId("s"), part});
     }
-    std::size_t heardUses(std::size_t i) const { return m_hosts[i].heardUses; }
+    std::size_t receivedUses(std::size_t i) const { return m_hosts[i].receivedUses; }
     /// Uses told in the last step, by all hosts to all.
-    std::size_t toldUses() const { return m_toldUses; }
+    std::size_t sentUses() const { return m_sentUses; }
 
     FleetView &view(std::size_t i) { return *m_hosts[i].view; }
     /// The store turns host \a i away.
@@ -188,9 +188,9 @@
         host.view->addHostRows(m_rows, m_now);
     }
     /// From now on so many of a hundred datagrams are lost, by chance.
-    void setLoss(int ofHundred, std::uint32_t seed)
+    void setLoss(int percent, std::uint32_t seed)
     {
-        m_lostOfHundred = ofHundred;
+        m_lossPercent = percent;
         m_random.seed(seed);
     }
     /// What each host is asked for by the customer.
@@ -208,21 +208,21 @@
         std::uint64_t sequence = 0;
         bool isDown = false;
         std::vector<Routing::PartUse> newUses;
-        std::size_t heardUses = 0;
+        std::size_t receivedUses = 0;
     };
 
     std::vector<Host> m_hosts;
     std::vector<HostRow> m_rows;
-    int m_lostOfHundred = 0;
+    int m_lossPercent = 0;
     std::mt19937 m_random;
     std::size_t m_datagrams = 0;
-    std::size_t m_toldUses = 0;
+    std::size_t m_sentUses = 0;
     Base::TimePoint m_now = start;
 };
 
 /// What hosts that are up believed of the fleet, at the worst, over some time. Sums in parts of the
 /// truth.
-struct Beliefs
+struct WorstView
 {
     double least = 1;
     double most = 1;
@@ -231,11 +231,12 @@
 };
 
 /// Plays on for \a time. What host \a starting believes is left out.
-Beliefs play(Hosts &hosts, Base::Milliseconds time, std::optional<std::size_t> starting = {})
+WorstView runFor(SimulatedFleet &hosts, Base::Milliseconds time,
+                 std::optional<std::size_t> starting = {})
 {
-    Beliefs worst;
+    WorstView worst;
     for (Base::Milliseconds age{0}; age < time; age += milliseconds(200)) {
-        hosts.stepInTurns(hosts.now() + milliseconds(50));
+        hosts.stepStaggered(hosts.now() + milliseconds(50));
         double up = 0;
         for (std::size_t i = 0; i < hosts.size(); ++i)
             up += hosts.isDown(i) ? 0 : 1;
@@ -245,9 +246,9 @@
             const Routing::OthersLoad &others = hosts.view(i).others();
             const auto asked = others.asked.find(Base::CustomerId("c"));
             const double sum =
-                Hosts::askedOfHost + (asked == others.asked.end() ? 0 : asked->second);
-            worst.least = std::min(worst.least, sum / (up * Hosts::askedOfHost));
-            worst.most = std::max(worst.most, sum / (up * Hosts::askedOfHost));
+                SimulatedFleet::askedOfHost + (asked == others.asked.end() ? 0 : asked->second);
+            worst.least = std::min(worst.least, sum / (up * SimulatedFleet::askedOfHost));
+            worst.most = std::max(worst.most, sum / (up * SimulatedFleet::askedOfHost));
             worst.leastHosts = std::min(worst.leastHosts, others.hosts);
             worst.leastNamed =
                 std::min(worst.leastNamed, hosts.view(i).servingMembers(hosts.now()).size());
@@ -258,7 +259,7 @@
 
 /// Half of the truth lets a customer in for twice its level, the most that a moment without one of
 /// the four zones and some lost reports may cost. A zone that counts twice makes 1.25.
-void checkBeliefs(const Beliefs &worst, std::size_t hosts)
+void checkWorstView(const WorstView &worst, std::size_t hosts)
 {
     CHECK(worst.least > 0.5);
     CHECK(worst.most < 1.2);
@@ -267,12 +268,12 @@
 }
 
 /// A fleet of 32 hosts in four zones that loses one report in ten, a while after its start.
-std::unique_ptr<Hosts> settledFleet(std::uint32_t seed)
+std::unique_ptr<SimulatedFleet> settledFleet(std::uint32_t seed)
 {
-    auto hosts = std::make_unique<Hosts>(4, 8);
-    play(*hosts, seconds(4));
+    auto hosts = std::make_unique<SimulatedFleet>(4, 8);
+    runFor(*hosts, seconds(4));
     hosts->setLoss(10, seed);
-    checkBeliefs(play(*hosts, seconds(4)), hosts->size());
+    checkWorstView(runFor(*hosts, seconds(4)), hosts->size());
     return hosts;
 }
 
@@ -335,10 +336,10 @@
     FleetView view = viewOf("self");
     HostReport leaving = report("a", 1);
     leaving.self.isLeaving = true;
-    HostReport blind = report("b", 1);
-    blind.self.isServing = false;
+    HostReport notServing = report("b", 1);
+    notServing.self.isServing = false;
     view.receive(leaving, start);
-    view.receive(blind, start);
+    view.receive(notServing, start);
     CHECK(servingAddresses(view, start) == std::vector<std::string>{"b:8000"});
     view.receive(report("c", 1), start);
     CHECK(servingAddresses(view, start) == std::vector<std::string>{"c:8000"});
@@ -383,7 +384,7 @@
 
 TEST_CASE("on a large fleet every host knows all work, with few datagrams", "[gateway]")
 {
-    Hosts hosts(4, 16);
+    SimulatedFleet hosts(4, 16);
     Base::TimePoint now = start;
     for (int i = 0; i < 20; ++i)
         hosts.step(now += milliseconds(200));
@@ -405,7 +406,7 @@
 {
     // The host that sums up a zone loses power. For two seconds its zone places work by old loads;
     // then the next host by name sums up, and nobody counts the lost one.
-    Hosts hosts(4, 16);
+    SimulatedFleet hosts(4, 16);
     Base::TimePoint now = start;
     for (int i = 0; i < 20; ++i)
         hosts.step(now += milliseconds(200));
@@ -433,7 +434,7 @@
     // leaders what it had heard from them; the uses went round, three times as many each time,
     // until they filled the reports, kept dropped parts from being forgotten, and left no room for
     // news.
-    Hosts hosts(4, 16);
+    SimulatedFleet hosts(4, 16);
     Base::TimePoint now = start;
     for (int i = 0; i < 20; ++i)
         hosts.step(now += milliseconds(200));
@@ -441,10 +442,10 @@
     hosts.use(user, 3);
     for (int i = 0; i < 10; ++i)
         hosts.step(now += milliseconds(200));
-    CHECK(hosts.toldUses() == 0);
+    CHECK(hosts.sentUses() == 0);
     for (std::size_t i = 0; i < hosts.size(); ++i) {
         // Its own come back to it with the sum for its zone.
-        CHECK(hosts.heardUses(i) == 3);
+        CHECK(hosts.receivedUses(i) == 3);
     }
 }
 
@@ -453,7 +454,7 @@
     // The store turns a third of the hosts away for nine seconds, one that reads for its zone among
     // them. All hosts of the zone call the store for themselves, some seven calls a second each,
     // and those that it turns away refuse requests. Cause: the reader stayed the first by name.
-    Hosts hosts(2, 16);
+    SimulatedFleet hosts(2, 16);
     Base::TimePoint now = start;
     for (int i = 0; i < 10; ++i)
         hosts.step(now += milliseconds(200));
@@ -518,12 +519,12 @@
         INFO("seed " << seed);
         const auto hosts = settledFleet(seed);
         hosts->setDown(0, true);
-        checkBeliefs(play(*hosts, seconds(5)), hosts->size());
+        checkWorstView(runFor(*hosts, seconds(5)), hosts->size());
         CHECK(hosts->view(1).isLeader(hosts->now()));
         hosts->restart(0);
         // A host that starts has yet to hear of the others: three reports, one or two may be lost.
-        checkBeliefs(play(*hosts, milliseconds(600), 0), hosts->size());
-        checkBeliefs(play(*hosts, seconds(5)), hosts->size());
+        checkWorstView(runFor(*hosts, milliseconds(600), 0), hosts->size());
+        checkWorstView(runFor(*hosts, seconds(5)), hosts->size());
         CHECK(hosts->view(0).isLeader(hosts->now()));
         CHECK_FALSE(hosts->view(1).isLeader(hosts->now()));
     }
@@ -538,7 +539,7 @@
         const auto hosts = settledFleet(seed);
         hosts->setDown(0, true);
         hosts->setDown(1, true);
-        checkBeliefs(play(*hosts, seconds(5)), hosts->size());
+        checkWorstView(runFor(*hosts, seconds(5)), hosts->size());
         CHECK(hosts->view(2).isLeader(hosts->now()));
     }
 }
@@ -551,9 +552,9 @@
         INFO("seed " << seed);
         const auto hosts = settledFleet(seed);
         hosts->setLeaving(0);
-        checkBeliefs(play(*hosts, seconds(2)), hosts->size());
+        checkWorstView(runFor(*hosts, seconds(2)), hosts->size());
         hosts->setDown(0, true);
-        checkBeliefs(play(*hosts, seconds(5)), hosts->size());
+        checkWorstView(runFor(*hosts, seconds(5)), hosts->size());
         CHECK(hosts->view(1).isLeader(hosts->now()));
     }
 }
@@ -567,10 +568,10 @@
         INFO("seed " << seed);
         const auto hosts = settledFleet(seed);
         hosts->setStoreLost(0, true);
-        checkBeliefs(play(*hosts, seconds(3)), hosts->size());
+        checkWorstView(runFor(*hosts, seconds(3)), hosts->size());
         CHECK(hosts->view(1).isLeader(hosts->now()));
         hosts->setStoreLost(0, false);
-        checkBeliefs(play(*hosts, seconds(3)), hosts->size());
+        checkWorstView(runFor(*hosts, seconds(3)), hosts->size());
         CHECK(hosts->view(0).isLeader(hosts->now()));
     }
 }
--- a/tests/auto/gateway/tst_storereplica.cpp
+++ b/tests/auto/gateway/tst_storereplica.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-class Listener final : public StoreReplicaListener
+class IgnoringListener final : public StoreReplicaListener
 {
 public:
     void configurationApplied() override {}
@@ -93,7 +93,7 @@
 private:
     GatewaySettings m_settings;
     std::unique_ptr<FleetView> m_view;
-    Listener m_listener;
+    IgnoringListener m_listener;
     std::uint64_t m_sequence = 0;
 
 public:
@@ -102,10 +102,10 @@
 
 /// Hosts, mostly of one zone, and their store, on this thread and loopback. Reports go without a
 /// network.
-class Zone
+class StoreFleet
 {
 public:
-    Zone()
+    StoreFleet()
         : m_null(open("/dev/null", O_WRONLY | O_CLOEXEC))
         , m_log(m_null, 0)
         , m_storeAddress(freeAddress(m_io))
@@ -124,9 +124,9 @@
             },
             [] { FAIL("cannot listen"); });
     }
-    ~Zone() { close(m_null); }
-    Zone(const Zone &) = delete;
-    Zone &operator=(const Zone &) = delete;
+    ~StoreFleet() { close(m_null); }
+    StoreFleet(const StoreFleet &) = delete;
+    StoreFleet &operator=(const StoreFleet &) = delete;
 
     void addHosts(int count, const std::string &zone = "z")
     {
@@ -137,7 +137,7 @@
         }
     }
     /// The rows of all hosts are listed.
-    void list()
+    void listHosts()
     {
         protocol.rows.clear();
         for (const auto &it : hosts)
@@ -161,7 +161,7 @@
         }
         return true;
     }
-    bool haveAll(std::uint64_t version) const
+    bool allHoldVersion(std::uint64_t version) const
     {
         return std::all_of(hosts.begin(), hosts.end(), [&](const auto &it) {
             const StoreReplica &replica = *it->replica;
@@ -215,14 +215,14 @@
     // On 195 hosts that were 1,200 of 6,500 calls of the store within eighteen seconds, all paid
     // for, and their bytes too. Cause: hosts that others read for were told only that there was
     // something newer.
-    Zone zone;
+    StoreFleet zone;
     zone.addHosts(16);
-    zone.list();
-    REQUIRE(zone.runUntil([&] { return zone.haveAll(7); }));
+    zone.listHosts();
+    REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(7); }));
     zone.runFor(milliseconds(300));
     zone.store.calls.clear();
     zone.store.version = 8;
-    REQUIRE(zone.runUntil([&] { return zone.haveAll(8); }, seconds(1)));
+    REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(8); }, seconds(1)));
     // The leader's watch brought it.
     CHECK(zone.store.calls["/configuration"] <= 1);
     CHECK(zone.store.calls["/servers"] <= 3);
@@ -235,15 +235,15 @@
     // away. Callers of those hosts get 503 until the end of it although every neighbour knows the
     // new keys. Cause: a host that was told of a newer configuration could get it from the store
     // only.
-    Zone zone;
+    StoreFleet zone;
     zone.addHosts(3);
-    zone.list();
-    REQUIRE(zone.runUntil([&] { return zone.haveAll(7); }));
+    zone.listHosts();
+    REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(7); }));
     // The leader watches; whatever else is asked is refused.
     zone.store.refused["/configuration"] = true;
     zone.store.version = 8;
     // Sooner than a host reads for itself that has had no proof.
-    CHECK(zone.runUntil([&] { return zone.haveAll(8); },
+    CHECK(zone.runUntil([&] { return zone.allHoldVersion(8); },
                         StoreTimes().fallbackReadAge - milliseconds(400)));
 }
 
@@ -251,14 +251,14 @@
 {
     // Hosts are replaced in turn. Each start costs the store five calls, and on a fleet whose hosts
     // restart 2,600 times a day that is what it pays most for.
-    Zone zone;
+    StoreFleet zone;
     zone.addHosts(4);
-    zone.list();
-    REQUIRE(zone.runUntil([&] { return zone.haveAll(7); }));
+    zone.listHosts();
+    REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(7); }));
     zone.runFor(milliseconds(700));
     zone.store.calls.clear();
     zone.addHosts(12);
-    REQUIRE(zone.runUntil([&] { return zone.haveAll(7); }, seconds(1)));
+    REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(7); }, seconds(1)));
     CHECK(zone.store.calls["/configuration"] == 0);
     // Each reads the rows once; the leader goes on reading the servers, and keeps all rows.
     CHECK(zone.store.calls["/hosts"] <= 13);
@@ -270,27 +270,27 @@
 {
     // A new fleet starts, and nobody has a row. Each host asked the store again and again for a
     // configuration that was not there yet.
-    Zone zone;
+    StoreFleet zone;
     zone.store.version = 0;
     zone.addHosts(16);
     zone.runFor(milliseconds(700));
-    zone.list();
+    zone.listHosts();
     zone.runFor(milliseconds(2500));
     // Nobody has read the configuration before the leader did, and it is the one that goes on.
     CHECK(zone.store.calls["/configuration"] <= 16);
     CHECK(zone.store.calls["/hosts"] <= 2 * 16);
     zone.store.version = 7;
-    CHECK(zone.runUntil([&] { return zone.haveAll(7); }, seconds(2)));
+    CHECK(zone.runUntil([&] { return zone.allHoldVersion(7); }, seconds(2)));
 }
 
 TEST_CASE("who gets no copy asks the store", "[gateway]")
 {
     // All hosts lose power at once and their rows are still there: the first one to be asked has
     // nothing. Nobody may wait for it.
-    Zone zone;
+    StoreFleet zone;
     zone.addHosts(6);
-    zone.list();
-    CHECK(zone.runUntil([&] { return zone.haveAll(7); }, milliseconds(1500)));
+    zone.listHosts();
+    CHECK(zone.runUntil([&] { return zone.allHoldVersion(7); }, milliseconds(1500)));
 }
 
 TEST_CASE("a host hands out no servers that it keeps only since the store was away", "[gateway]")
@@ -299,10 +299,10 @@
     // it two seconds later. Callers of it get answers from the gone server again. Cause: another
     // host, which had not read the list again since its own two seconds were over, handed out the
     // old one.
-    Zone zone;
+    StoreFleet zone;
     zone.addHosts(2);
-    zone.list();
-    REQUIRE(zone.runUntil([&] { return zone.haveAll(7); }));
+    zone.listHosts();
+    REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(7); }));
     for (const char *path : {"/watch", "/configuration", "/servers"})
         zone.store.refused[path] = true;
     const auto isLost = [&](const auto &it) { return it->replica->isStoreLost(bootTimeNow()); };
@@ -336,10 +336,10 @@
 TEST_CASE("who takes over from a host that lost the store keeps servers whose entries lapsed",
           "[gateway]")
 {
-    Zone zone;
+    StoreFleet zone;
     zone.addHosts(2);
-    zone.list();
-    REQUIRE(zone.runUntil([&] { return zone.haveAll(7); }));
+    zone.listHosts();
+    REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(7); }));
     // By now only the first host calls the store.
     zone.runFor(seconds(2));
     for (const char *path : {"/watch", "/configuration", "/servers"})
@@ -364,7 +364,7 @@
     // stay with one host. Cause: of each zone only the leader had read and written rows, so the
     // other hosts of different zones never sent each other reports, and each counted a part of what
     // the first customer received.
-    Zone fleet;
+    StoreFleet fleet;
     for (const char *zone : {"a", "b", "c"})
         fleet.addHosts(2, zone);
     // Their settings name the first host of each zone.
