--- a/src/libs/gateway/fleetview.cpp
+++ b/src/libs/gateway/fleetview.cpp
@@ -9,29 +9,30 @@
 
 namespace {
 
-/// Reports come five times a second; three and more in a row are not lost by chance, and a host
-/// that is down must leave the list before many callers try it.
+/// Reports are sent five times a second. Several lost in a row are unlikely to be chance, and a
+/// host that is down must leave the entry list before many callers try it.
 constexpr Base::Duration livenessTimeout = std::chrono::milliseconds(1400);
-/// A host that is down or cut off is sent reports for this long after it was last heard of or
-/// listed in the store.
+/// A host that is down or cut off is still sent reports for this long after it was last heard from
+/// or listed in the store.
 constexpr Base::Duration receiverTimeout = std::chrono::seconds(45);
-/// How old an answer to the question who leads may be.
+/// For this long a cached decision on who leads is reused.
 constexpr Base::Duration leaderCacheTime = std::chrono::milliseconds(100);
-/// For so long after a change that decides who leads, all hosts are told of it and not only the
-/// leader: three reports, of which one or two may be lost.
+/// For this long after a change that affects who leads, this host reports to all hosts and not only
+/// to the leader. The time covers three reports, of which one or two may be lost.
 constexpr Base::Duration announcePeriod = std::chrono::milliseconds(600);
-/// Sums are used for this long after they were told. A leader is silent for aliveFor before another
-/// host leads, and that one gathers reports before it tells sums.
+/// Summaries are used for this long after they were received. The time covers a leader's silence
+/// (livenessTimeout) before another host takes over, and that host's gatherPeriod.
 constexpr Base::Duration summaryLifetime = std::chrono::milliseconds(3500);
-/// After a leader fell silent, the next host by name has this long to be heard of before the one
-/// after it leads.
+/// After a leader has fallen silent, the next host by name has this long to report before the host
+/// after it takes over.
 constexpr Base::Duration successorTimeout = std::chrono::milliseconds(600);
-/// A host that begins to lead hears its zone for this long before it tells sums: three
-/// reports of each host and each other leader, of which one or two may be lost.
+/// A new leader collects reports for this long before it sends summaries. The time covers three
+/// reports of each host of its zone and of each other leader, of which one or two may be lost.
 constexpr Base::Duration gatherPeriod = std::chrono::milliseconds(800);
-/// Reports of one's own that are remembered: an echo comes within a second.
+/// Number of this host's own reports that are remembered; an echo arrives within a second.
 constexpr std::size_t maxSentReports = 24;
-/// Uses of prompt parts that a leader keeps for its next report: some ten kilobytes.
+/// Number of uses of prompt parts that a leader keeps for its next report; they take some ten
+/// kilobytes.
 constexpr std::size_t maxRelayedUses = 400;
 
 void appendUses(std::vector<Routing::PartUse> &to, const std::vector<Routing::PartUse> &uses)
@@ -113,8 +114,8 @@
     }
     if (isLarge() && isLeader(now) && report.scope != ReportScope::Fleet) {
         appendUses(m_usesForZone, report.load.partUses);
-        // What another leader told, it told all leaders. Told once more, uses would go round for
-        // ever and grow in number each time.
+        // Another leader sends what it relays to all leaders. Relaying it to them again would make
+        // the uses circulate for ever and multiply each time.
         if (report.scope == ReportScope::Host && from.zone == m_zone)
             appendUses(m_usesForLeaders, report.load.partUses);
     }
@@ -172,7 +173,7 @@
     }
     if (const ReceivedReport *fleet = newestFleetReport(now))
         summaries.push_back(fleet);
-    // The newest summary goes last, so that its state of a host is what remains.
+    // The newest summary goes last, so that its state of a host is the one that remains.
     std::ranges::sort(summaries, {}, &ReceivedReport::at);
     for (const ReceivedReport *summary : summaries) {
         for (const MemberState &member : summary->report.members) {
@@ -199,8 +200,8 @@
         if (member.zone == zone && !member.isLeaving)
             candidates.push_back(member);
     }
-    // A leader that the store turns away would leave its whole zone without proofs of the
-    // configuration, and each host of it would call the store for itself.
+    // A leader that the store rejects would leave its whole zone without proof that the
+    // configuration is current, and each host of the zone would call the store itself.
     std::ranges::stable_sort(candidates, {}, &MemberState::isStoreLost);
     const auto isBeforeSelf = [this](const MemberState &it) {
         return std::tie(it.isStoreLost, it.host) < std::tie(m_isStoreLost, m_self);
@@ -211,7 +212,7 @@
     for (const MemberState &candidate : candidates) {
         if (maySelfLead && !isBeforeSelf(candidate))
             return std::nullopt;
-        // Only a silent leader told of this one; it may be silent as well.
+        // This host is known only from a summary of the silent leader, and may be silent as well.
         if (!isHeardDirectly(candidate.host, now) && silence >= successorTimeout) {
             silence -= successorTimeout;
             continue;
@@ -225,8 +226,9 @@
 
 bool FleetView::isLeader(Base::TimePoint now) const
 {
-    // Asked for each tick and each report; going through all members takes tens of microseconds on
-    // a large fleet, and one that falls silent is left out only after seconds.
+    // This is called for each tick and each report, and going through all members takes tens of
+    // microseconds in a large fleet. A short cache does no harm, since a silent host is left out
+    // only after more than a second anyway.
     if (m_leaderCheckedAt == Base::TimePoint::min() || now - m_leaderCheckedAt >= leaderCacheTime) {
         m_leaderCheckedAt = now;
         m_isCachedLeader = !leaderOf(m_zone, now);
@@ -257,13 +259,13 @@
     if (!isLarge())
         return {{ReportScope::Host, allReceivers()}};
     if (const std::optional<MemberState> leader = leaderOf(m_zone, now)) {
-        // All must hear at once that this host does not lead any longer; by its silence they would
-        // know only after a second and more without sums and proofs.
+        // All hosts must learn at once that this host does not lead any more. Its silence alone
+        // would tell them only after more than a second without summaries and proofs.
         if (now < m_announceUntil)
             return {{ReportScope::Host, allReceivers()}};
         return {{ReportScope::Host, {leader->peerAddress}}};
     }
-    // Sums of only a part of the zone would replace whole ones.
+    // A summary of only a part of the zone would replace complete ones.
     if (now < m_gatherUntil)
         return {{ReportScope::Host, allReceivers()}};
     std::set<Base::ZoneId> zones;
@@ -326,7 +328,7 @@
         if (zone != m_zone)
             addLoad(sum, latest->report.load);
     }
-    // A small fleet has no leaders, and hosts that start together do not know theirs.
+    // A small fleet has no leaders, and hosts that start together do not know theirs yet.
     for (const auto &[host, latest] : m_hosts) {
         const Base::ZoneId &zone = latest.report.self.zone;
         if (zone == m_zone || zones.count(zone) > 0)
@@ -435,7 +437,7 @@
     if (const ReceivedReport *fleet = newestFleetReport(now)) {
         sum = fleet->report.load;
         const auto echo = fleet->report.echoes.find(m_self);
-        // The sum has this host's own work as of the report that the leader echoes.
+        // The sum contains this host's own work as of the report that the leader echoes.
         for (const SentReport &it : m_sentReports) {
             if (echo != fleet->report.echoes.end() && it.sequence == echo->second)
                 subtractLoad(sum, it.load);
--- a/src/libs/gateway/fleetview.h
+++ b/src/libs/gateway/fleetview.h
@@ -13,26 +13,27 @@
 
 namespace Gateway {
 
-/// A report that is due: to whom and of whose work.
+/// A report that is due: its scope and the addresses that it is sent to.
 struct DueReport
 {
     ReportScope scope = ReportScope::Host;
     std::vector<std::string> receivers;
 };
 
-/// The other gateway hosts as this one knows them: who is alive, where callers reach them, and
-/// what work they have at the backend servers. Has no sockets.
+/// This host's view of the other gateway hosts: which of them are alive, where callers reach them,
+/// and what work they have at the backend servers. Has no sockets.
 ///
-/// The store tells who may be there, reports tell who is. A host that is silent for a second is
-/// not named to callers and its load is not counted; it is still sent reports for a while, so
-/// that both ends of a cut link find each other again.
+/// The store lists the hosts that may exist; their reports show which of them are alive. A host
+/// that has been silent for 1.4 s is not named to callers and its load is not counted. It is still
+/// sent reports for 45 s, so that both ends of a broken link find each other again.
 ///
-/// On a small fleet each host reports to each other one. On a larger one that would be thousands
-/// of datagrams a second, so the hosts of a zone report to one of them, its leader; leaders tell
-/// each other of their zones, and their zones of the fleet. The leader also reads the store for its
-/// zone, so that calls to it do not grow with the hosts. It is the first live host by name that the
-/// store takes calls of. When another one leads, the hosts of its zone go on with the last sums
-/// until it has heard of them all.
+/// In a small fleet each host reports to every other host. In a larger fleet this would take
+/// thousands of datagrams a second, so the hosts of an availability zone report to one of them, the
+/// zone's leader. Leaders exchange summaries of their zones and send the summary of the fleet to
+/// the hosts of their own zone. The leader also reads the store for its zone, so that the number of
+/// store calls does not grow with the number of hosts. The leader is the first live host by name
+/// among those whose calls the store accepts. When the leader changes, the hosts of its zone use
+/// the last summary until the new leader has received reports from all of them.
 class FleetView
 {
 public:
@@ -41,43 +42,47 @@
         , m_zone(zone)
     {}
 
-    /// Rows of the store: hosts to send reports to.
+    /// Adds the hosts that the store lists to the receivers of reports.
     void addHostRows(const std::vector<HostRow> &hosts, Base::TimePoint now);
-    /// An address that may be a host's, of a zone that is not known.
+    /// Adds a receiver of reports whose availability zone is not known yet.
     void addAddress(const std::string &peerAddress, Base::TimePoint now);
-    /// False if it is this host's own or older than one already received.
+    /// Takes in a report of another host. Returns false if the report is this host's own or not
+    /// newer than the last one of its sender.
     bool receive(const HostReport &report, Base::TimePoint now);
     void advance(Base::TimePoint now);
     void setLeaving(Base::TimePoint now);
-    /// Whether this host's last call to the store failed.
+    /// Sets whether this host cannot rely on the store now (StoreReplica::isStoreLost()).
     void setStoreLost(bool isLost, Base::TimePoint now);
 
-    /// Whether reports go through leaders, and tell of all hosts. On a small fleet a host hears
-    /// only of those that it has found, or that have found it.
+    /// Whether reports go through leaders and cover all hosts. In a small fleet a host only
+    /// receives reports of hosts that it has found or that have found it.
     bool isLarge() const { return m_receivers.size() >= largeFleetHosts; }
-    /// Whether this host leads its zone.
+    /// Whether this host is the leader of its zone.
     bool isLeader(Base::TimePoint now) const;
     std::vector<DueReport> dueReports(Base::TimePoint now) const;
-    /// Fills in what a report of \a scope has beyond the sender's own: members, echoes, loads.
+    /// Adds what a report of its scope has beyond the sender's own data: members, echoes and loads
+    /// of other hosts.
     void addOtherHosts(HostReport &report, Base::TimePoint now) const;
-    /// This host's own load was sent under \a sequence.
+    /// Records that this host's own load was sent in the report with \a sequence.
     void recordSentReport(std::uint64_t sequence, const Routing::HostLoad &load,
                           Base::TimePoint now);
-    /// When the report that \a report echoes was sent; empty if it echoes none that is remembered.
+    /// Returns when this host sent the report that \a report echoes; empty if \a report echoes none
+    /// or one that is no longer remembered.
     std::optional<Base::TimePoint> echoedSendTime(const HostReport &report) const;
 
-    /// The other hosts that are alive, serve, and do not leave; all that are alive and do not
-    /// leave if none of them serves.
+    /// Returns the other hosts that are alive, serve and are not leaving. If none of them serves,
+    /// returns all that are alive and not leaving.
     std::vector<MemberState> servingMembers(Base::TimePoint now) const;
     std::size_t liveHosts(Base::TimePoint now) const;
-    /// Age of the newest report of another host; empty if there is none.
+    /// Returns the age of the newest report of another host; empty if there is none.
     std::optional<Base::Duration> newestReportAge(Base::TimePoint now) const;
-    /// The other hosts of this zone that are alive and do not leave.
+    /// Returns the other hosts of this zone that are alive and not leaving.
     std::vector<MemberState> membersOfZone(Base::TimePoint now) const;
     const Routing::OthersLoad &others() const { return m_others; }
-    /// Sums up the loads of the hosts that are alive.
+    /// Recomputes others() from the loads of the hosts that are alive.
     void updateTotals(Base::TimePoint now);
-    /// Adds the uses of prompt parts that a leader passes on with a report of this scope, once.
+    /// Adds the uses of prompt parts that a leader relays with a report of this scope. Each use is
+    /// relayed once per scope.
     void addRelayedUses(HostReport &report);
 
 private:
@@ -88,7 +93,7 @@
     };
     struct Receiver
     {
-        /// Empty if it is not known.
+        /// Empty if the zone is not known.
         Base::ZoneId zone;
         Base::TimePoint until;
     };
@@ -100,30 +105,32 @@
     };
 
     bool isAlive(const ReceivedReport &latest, Base::TimePoint now) const;
-    /// Whether \a host itself was heard of late.
+    /// Whether a report of \a host itself was received within the liveness timeout.
     bool isHeardDirectly(const Base::HostId &host, Base::TimePoint now) const;
-    /// All other hosts that are alive, heard of directly or through a leader.
+    /// Returns all other hosts that are alive, by their own reports or by those of a leader.
     std::map<Base::HostId, MemberState> liveMembers(Base::TimePoint now) const;
-    /// The first host by name of those that reach the store, or of all if none does. Empty if no
-    /// other host of the zone is known to be alive, or this one leads.
+    /// Returns the leader of \a zone: the first host by name of those that reach the store, or of
+    /// all hosts if none reaches it. Empty if this host is the leader, or no other host of the zone
+    /// is known to be alive.
     std::optional<MemberState> leaderOf(const Base::ZoneId &zone, Base::TimePoint now) const;
     std::vector<std::string> receiversIn(const Base::ZoneId &zone) const;
     std::vector<std::string> allReceivers() const;
-    /// Whether other hosts of this zone are known, but none was heard of late.
+    /// Whether other hosts of this zone may exist, but none of them has reported within the
+    /// liveness timeout.
     bool isCutOffFromZone(Base::TimePoint now) const;
-    /// Puts off telling sums until this host leads and has had time to hear its zone; from then on
-    /// it needs no former leader's.
+    /// Postpones this host's summaries until it has been the leader long enough to hear from its
+    /// zone. From then on it discards the fleet reports of former leaders.
     void updateGatherPeriod(Base::TimePoint now);
-    /// The fleet's load as a leader of this zone told it last, if lately; null if none did, or this
-    /// host leads and has reports of its zone.
+    /// Returns the newest report on the fleet from a leader of this zone. Null if there is no
+    /// recent one, or if this host is the leader and has gathered the reports of its zone.
     const ReceivedReport *newestFleetReport(Base::TimePoint now) const;
-    /// The newest sum of each zone that a leader told of.
+    /// Returns the newest report on each zone from its leader.
     std::map<Base::ZoneId, const ReceivedReport *> newestZoneReports(Base::TimePoint now) const;
-    /// Adds the work of all other zones, each host's once: what its zone's leader told, or what the
-    /// hosts of the zone did if none has told.
+    /// Adds the work of all other zones to \a sum, counting each host once: by the report of the
+    /// zone's leader, or else by the reports of the zone's hosts.
     void addOtherZones(Routing::HostLoad &sum, Base::TimePoint now) const;
 
-    /// From this many other hosts on, reports go through leaders.
+    /// Number of known other hosts from which on reports go through leaders.
     static constexpr std::size_t largeFleetHosts = 12;
 
     Base::HostId m_self;
@@ -131,18 +138,18 @@
     bool m_isLeaving = false;
     bool m_isStoreLost = false;
     Base::TimePoint m_announceUntil = Base::TimePoint::min();
-    /// Leading, this host does not tell sums until then.
+    /// While this host is the leader, it sends no summaries before this time.
     Base::TimePoint m_gatherUntil = Base::TimePoint::max();
     mutable Base::TimePoint m_leaderCheckedAt = Base::TimePoint::min();
     mutable bool m_isCachedLeader = true;
     std::map<Base::HostId, ReceivedReport> m_hosts;
-    /// The last report of a zone or the fleet of each host that sent one.
+    /// The last report on a zone or on the fleet from each host that has sent one.
     std::map<Base::HostId, ReceivedReport> m_summaries;
     std::map<std::string, Receiver> m_receivers;
     std::deque<SentReport> m_sentReports;
-    /// Heard from hosts of this zone; other leaders are still to be told.
+    /// Uses of prompt parts reported by hosts of this zone, to be relayed to the other leaders.
     std::vector<Routing::PartUse> m_usesForLeaders;
-    /// Heard from anybody; the hosts of this zone are still to be told.
+    /// Uses of prompt parts reported by any host, to be relayed to the hosts of this zone.
     std::vector<Routing::PartUse> m_usesForZone;
     Routing::OthersLoad m_others;
 };
