--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -19,21 +19,25 @@
 
 using std::chrono::milliseconds;
 
-/// Granularity of all time limits. Each tick costs a wake-up, so not finer than callers notice.
+/// Granularity of all time limits. Each tick costs a wake-up, so it is no finer than callers
+/// notice.
 constexpr Base::Duration tickInterval = milliseconds(25);
 constexpr Base::Duration slowCheckInterval = milliseconds(500);
 constexpr std::size_t readBufferBytes = 65536;
-/// Part of a server's connections that the hosts together open: hosts come and go, and a server
-/// that is busy takes fewer.
+/// Share of a server's connections that all hosts together open. The rest is kept free because
+/// hosts come and go and a busy server accepts fewer connections.
 constexpr double openConnectionShare = 0.8;
 constexpr std::size_t minConnections = 4;
-/// Within the grace: requests that come later than this after SIGTERM and may take long are sent
-/// elsewhere, and the process ends this long before it would be killed.
+/// Shares of the shutdown grace, counted from SIGTERM. From the first one on, requests that may
+/// take long are sent to other hosts. At the second one the process stops, before it would be
+/// killed.
 constexpr double longWorkCutoffShare = 0.35;
 constexpr double forcedStopShare = 0.9;
-/// Another host may take it at once; this one is idle again only when open streams have ended.
+/// Another host may take the request at once, while this host has spare processor time again only
+/// when some open streams have ended.
 constexpr Base::Milliseconds overloadRetryAfter{400};
-/// Callers keep an entry list for some seconds; a process that has nothing to do ends after them.
+/// From this share of the shutdown grace on, a process without open requests stops. Before that,
+/// callers may still use an entry list that names this host.
 constexpr double idleStopShare = 0.65;
 
 Base::Duration fractionOf(Base::Duration whole, double share)
@@ -56,7 +60,8 @@
                                                       + std::chrono::nanoseconds(time.tv_nsec));
 }
 
-/// Sequences of two starts of one host must not meet: an echo of an older one proves nothing.
+/// A random start keeps the sequences of two starts of one host apart, since an echo of an earlier
+/// start's report proves nothing.
 std::uint64_t randomSequenceStart()
 {
     std::random_device device;
@@ -167,7 +172,8 @@
         m_io.run_one();
         if (!m_isIdleCheckDue)
             continue;
-        // Returns when nothing is ready. Looked for once a tick, since it is a system call more.
+        // poll() returns when nothing is ready. It is called only once a tick because it costs an
+        // extra system call.
         m_io.poll();
         m_isIdleCheckDue = false;
         const Base::TimePoint time = now();
@@ -203,7 +209,7 @@
             m_log.write(LogLine("process.reload").add("changed", true), now());
             return {};
         },
-        // The settings in force are better than none; the next change is tried again.
+        // The settings in force stay, and the next change of the file is tried again.
         [&](const Settings::SettingsFaults &it) {
             m_log.write(
                 LogLine("process.reload")
@@ -244,7 +250,7 @@
 void Gateway::onTick()
 {
     const Base::TimePoint time = now();
-    // Not idle since the tick before.
+    // The process has not been idle since the last tick.
     if (m_isIdleCheckDue)
         m_load.addBusy(m_busySince, time);
     m_busySince = time;
@@ -390,7 +396,7 @@
         m_metrics->requestEnded({accepted.route ? accepted.route->name : std::string(),
                                  accepted.customer.value(), failureName(failure->type),
                                  std::nullopt, now() - accepted.request.readAt});
-        // Kept, a refused caller's connection costs more than the refusal.
+        // Keeping a rejected caller's connection open costs more than the rejection itself.
         if (failure->type == FailureType::HostBehind)
             sink.closeAfterAnswer();
         sink.sendAnswer(failureHead(*failure), failureBody(*failure, accepted.requestId));
@@ -422,8 +428,8 @@
 void Gateway::apply(const Routing::Decisions &decisions)
 {
     m_decisions.push_back(decisions);
-    // A placement may end in a further decision at once. Taken one after the other here, they
-    // neither nest without bound nor change what a loop above goes through.
+    // A placement may lead to another decision at once. The queue prevents unbounded recursion, and
+    // changes to containers that a caller of this function iterates over.
     if (std::exchange(m_isApplying, true))
         return;
     while (!m_decisions.empty()) {
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -29,42 +29,45 @@
 
 namespace Gateway {
 
-/// What callers and the platform ask about the fleet.
+/// What the discovery and readiness endpoints need to know of the fleet and of this host.
 class EntryDirectory
 {
 public:
     virtual ~EntryDirectory() = default;
-    /// "IP:PORT" of the hosts that callers may use now.
+    /// Returns the addresses "IP:PORT" of the hosts that callers may use now.
     virtual std::vector<std::string> entryAddresses() const = 0;
     virtual std::chrono::seconds entryListMaxAge() const = 0;
-    /// Whether this host takes requests: it knows its configuration and does not leave.
+    /// Whether this host takes requests: it knows its configuration and its backend servers, and is
+    /// not leaving.
     virtual bool isReady() const = 0;
 };
 
-/// What a deployment adds to the gateway: its spelling of the protocols. Outlives the gateway.
+/// What a deployment adds to the gateway: its header names, its store protocol and its discovery
+/// and readiness handlers. It must outlive the gateway.
 struct DeploymentAdapter
 {
     const HeaderNames &names;
     const StoreProtocol &store;
-    /// Answers questions at the discovery and readiness addresses.
+    /// Creates the handler for requests at the discovery and readiness addresses.
     std::function<std::unique_ptr<RequestHandler>(const EntryDirectory &)> directoryHandler;
 };
 
-/// One gateway host: listens for callers, decides with the parts of Routing, forwards.
+/// One gateway host: accepts requests of callers, places them with the classes of Routing and
+/// forwards them to backend servers.
 ///
-/// All of it runs on one thread: a request's bytes cross no thread, so that an event of a stream
-/// costs one wake-up on hosts with a quarter of a core.
+/// All work runs on one thread. A request's bytes cross no thread, so that forwarding an event of a
+/// stream costs one wake-up; some hosts have only a quarter of a core.
 class Gateway final : public RequestHandler,
                       public ExchangePort,
                       public StoreReplicaListener,
                       public EntryDirectory
 {
 public:
-    /// Fails with CannotListen.
+    /// Creates a gateway that listens on all addresses of \a settings. Fails with CannotListen.
     static Base::Result<std::unique_ptr<Gateway>> create(const GatewaySettings &settings,
                                                          const DeploymentAdapter &adapter);
 
-    /// Runs until SIGTERM or SIGINT and the end of the shutdown.
+    /// Runs until the shutdown after SIGTERM or SIGINT has ended.
     void run();
 
     std::shared_ptr<ActiveRequest> handle(CallerRequest request, AnswerSink &sink) override;
@@ -103,22 +106,23 @@
 private:
     Gateway(const GatewaySettings &settings, const DeploymentAdapter &adapter);
     Base::Result<void> listen();
-    /// Handles what is ready, and waits when nothing is.
+    /// Handles the events that are ready, and waits when there is none.
     void loop();
     void watchSignals();
-    /// Takes what may change while the process runs from the settings file, if that has changed.
+    /// Rereads the settings file if it has changed, and applies the settings that may change while
+    /// the process runs.
     void reloadIfChanged();
     void applySettings(const GatewaySettings &settings);
     void tick();
     void onTick();
     void report(Base::TimePoint now);
-    /// Shares out the connections that each server takes.
+    /// Limits the connections to each server to this host's share of those that the server takes.
     void limitConnections();
     MemberState ownMemberState(Base::TimePoint now) const;
     HostReport ownReport(Base::TimePoint now) const;
     void reportReceived(const HostReport &report);
 
-    /// Writes the line about this host's load, once a second.
+    /// Logs this host's load, once a second.
     void logLoad(Base::TimePoint now);
     void logRefusal(const AcceptedRequest &accepted, const Failure &failure);
     void apply(const Routing::Decisions &decisions);
@@ -153,7 +157,7 @@
     EntryHostSelector m_entryHosts;
     Routing::BacklogWatch m_backlog;
     HostLoadCounter m_load;
-    /// Up to where the time with work is counted.
+    /// Time up to which m_load counts the busy time.
     Base::TimePoint m_busySince{};
     std::unique_ptr<Services> m_services;
     std::unordered_map<Routing::WorkId, std::shared_ptr<Exchange>> m_exchanges;
