--- a/src/libs/gateway/exchange.cpp
+++ b/src/libs/gateway/exchange.cpp
@@ -13,24 +13,25 @@
 using Routing::AttemptOutcome;
 using std::chrono::milliseconds;
 
-/// Attempts of one request in all, those included that certainly did not run. Bounds the work
-/// that one request causes while many servers are full or unreachable.
+/// Limit of all attempts of one request, including those that certainly did not run. It bounds the
+/// work that one request causes while many servers are full or unreachable.
 constexpr unsigned maxSends = 4;
-/// Time left below which another attempt cannot end in time.
+/// Another attempt cannot end in time if less time than this is left.
 constexpr Base::Duration minTimeLeft = milliseconds(40);
-/// A repeatable request that has not begun to be answered is sent elsewhere after this many times
-/// the expected time, and a floor: a server that is down without a reset says nothing for ever.
+/// A repeatable request whose answer has not begun is sent to another server after this many times
+/// the expected time, but not before a minimum. A server that is down may never reset the
+/// connection.
 constexpr int silenceFactor = 2;
 constexpr Base::Duration minSilenceTimeout = milliseconds(250);
 constexpr Base::Duration minStreamSilenceTimeout = milliseconds(1100);
-/// A started stream that pauses for this many times the longest pause that is on time is gone on
-/// with elsewhere. Callers leave after eight times; half of it leaves time for the other server.
+/// A started stream is resumed at another server after a pause of this many times the longest pause
+/// that is on time. Callers leave after eight times, so that the other server has time to answer.
 constexpr int pauseToleranceFactor = 3;
-/// A server that this host has heard of within this time is alive.
+/// A server that has sent anything to this host within this time is alive.
 constexpr Base::Duration serverQuietTime = milliseconds(150);
 constexpr Base::Duration streamServerQuietTime = milliseconds(600);
-/// How many times longer a server is waited for while it answers others. Callers of a stream leave
-/// after about four seconds without an event.
+/// The silence timeout is this many times longer while the server answers other requests. Callers
+/// of a stream leave after about four seconds without an event.
 constexpr int aliveServerFactor = 3;
 constexpr Base::Milliseconds defaultRetryAfter{300};
 
@@ -81,14 +82,14 @@
         handleFailedAttempt(AttemptOutcome::Withdrawn, false);
         return;
     }
-    // The key may have been taken away while the request waited, or the host was suspended.
+    // The key may have been revoked while the request waited, or this host may have been suspended.
     if (!m_accepted.customer.isEmpty() && !m_port->mayUseKeys()) {
         finishAttempt(AttemptOutcome::Withdrawn);
         fail({FailureType::NotReady, m_mayHaveRun, defaultRetryAfter});
         return;
     }
-    // On a host that is behind with its work the caller may have left while its request lay unread.
-    // Its server would work for nobody.
+    // On an overloaded host the caller may have left before its request was read. Its server would
+    // work for nobody.
     if (!m_isCallerGone && m_sink->isCallerGone()) {
         m_isCallerGone = true;
         finishAttempt(AttemptOutcome::Withdrawn);
@@ -125,7 +126,7 @@
         handleFailedAttempt(AttemptOutcome::NoRoom, false);
         return;
     }
-    // The attempt may have failed within the call, and a further one may be under way.
+    // The attempt may have failed within the call, and another one may already be under way.
     if (m_state == State::Sent && m_sends == send)
         m_connection = std::move(connection);
 }
@@ -139,7 +140,8 @@
     added.expectedServer = server.start.name;
     const Routing::RegisteredServer *fetchSource =
         m_fetchFrom.isEmpty() ? nullptr : m_port->server(m_fetchFrom);
-    // One that has left meanwhile keeps nothing: the server reads all itself.
+    // A server that has left since does not hold the prompt any more, so the target server reads
+    // all of it itself.
     if (fetchSource)
         added.fetchFrom = fetchSource->address;
     added.customer = m_accepted.customer.value();
@@ -202,9 +204,10 @@
     const Base::Duration silence = now - (m_isWorkStarted ? m_lastDataAt : m_sentAt);
     if (silence < silenceTimeout())
         return false;
-    // A server that answers others is alive and only slow: to give up its work would waste what it
-    // has read, and on a crowded pool nobody else has room. One that never answers this request
-    // may fail a part of its requests without a word, so there is an end to it.
+    // A server that answers other requests is alive and only slow. Giving up its work would waste
+    // what it has already read, and no other server has room in a crowded pool. A server that never
+    // answers this request may drop some of its requests silently, so the longer wait is bounded
+    // too.
     const Base::Duration quietTime = route().isStream() ? streamServerQuietTime : serverQuietTime;
     const std::optional<Base::TimePoint> lastResponseAt = m_port->lastResponseFrom(m_server);
     const bool isServerQuiet = !lastResponseAt || now - *lastResponseAt >= quietTime;
@@ -216,8 +219,8 @@
     m_isCallerGone = true;
     if (m_state == State::Finished)
         return;
-    // What must not be repeated runs to its end: its connection stays whole, and nobody is told
-    // that it did not run. Everything else is dropped, so that its server is free at once.
+    // A request that must not be repeated runs to its end: its connection stays open, and nobody is
+    // told that it did not run. Any other attempt is cancelled, so that its server is free at once.
     const bool isLeftRunning =
         m_state == State::Sent && !route().mayRepeat() && !route().isStream();
     if (isLeftRunning)
@@ -325,7 +328,7 @@
         finishAttempt(AttemptOutcome::Served);
     }
     if (m_isStreamStarted) {
-        // A server that was asked to go on with a stream answered something else.
+        // The server was asked to resume a stream, but sent another kind of answer.
         fail({FailureType::ServerFailed, true, std::nullopt});
         return;
     }
@@ -337,8 +340,8 @@
 
 bool Exchange::isAnswerTrusted() const
 {
-    // That the request did not run is only believed with the field that says so, and a
-    // success only with the server's signature.
+    // An answer proves that the request did not run only if it has the field that says so, and it
+    // is a success only if it has the server's signature.
     const unsigned status = m_head.result_int();
     const bool claimsNotRun = status == 429 || status == 503 || status == 408;
     const bool isSuccess = status >= 200 && status < 300;
@@ -385,7 +388,8 @@
         return false;
     if (effectiveDeadline() - m_port->now() < minTimeLeft)
         return false;
-    // What never reached a server is no repeat for anybody.
+    // A request that never reached a server does not add to the load of any server, so it needs no
+    // retry budget.
     if (outcome == AttemptOutcome::Unreachable || outcome == AttemptOutcome::Withdrawn)
         return true;
     return m_port->acquireRetry(m_accepted.service);
@@ -421,8 +425,8 @@
         return;
     }
     m_status = failureStatus(failure);
-    // Callers who are turned away mostly come back on a new connection; to keep this one would cost
-    // a busy host more than the refusal.
+    // Rejected callers mostly come back on a new connection, and keeping this one open would cost a
+    // busy host more than the rejection.
     if (!failure.mayHaveRun && m_port->isBusy())
         m_sink->closeAfterAnswer();
     if (!m_isCallerGone)
--- a/src/libs/gateway/exchange.h
+++ b/src/libs/gateway/exchange.h
@@ -18,61 +18,63 @@
 class EventLog;
 struct EndedRequest;
 
-/// What an exchange asks of the gateway that it belongs to.
+/// The services of the gateway that an exchange uses.
 class ExchangePort
 {
 public:
     virtual ~ExchangePort() = default;
-    /// Leads to ExchangePort::placed() or turnedAway(), at once or later.
+    /// Submits work for placement. Exchange::placed() or turnedAway() is called as a result, at
+    /// once or later.
     virtual void submitWork(const std::string &service, Routing::Work work) = 0;
     virtual void withdrawWork(const std::string &service, Routing::WorkId id) = 0;
     virtual void workStarted(const std::string &service, Routing::WorkId id) = 0;
     virtual void workFinished(const std::string &service, Routing::WorkId id,
                               Routing::AttemptOutcome outcome) = 0;
     virtual Base::Duration expectedStart(const std::string &service, Routing::WorkId id) = 0;
-    /// This host has no processor time to spare.
+    /// Whether this host has no processor time to spare.
     virtual bool isBusy() = 0;
-    /// Takes a repeat out of this host's share of the retry budget.
+    /// Takes one retry out of this host's share of the retry budget. Returns false if none is left.
     virtual bool acquireRetry(const std::string &service) = 0;
-    /// Null if the server may not get work any more.
+    /// Returns the server with this id; null if it may not get work any more.
     virtual const Routing::RegisteredServer *server(const Base::ServerId &id) = 0;
-    /// Whether keys may be used: the configuration is known to be current.
+    /// Whether API keys may be used, which requires a configuration that is known to be current.
     virtual bool mayUseKeys() = 0;
     virtual BackendPool &backends() = 0;
     virtual const HeaderNames &names() = 0;
     virtual EventLog &log() = 0;
     virtual Base::TimePoint now() = 0;
     virtual void attemptFailed(Routing::AttemptOutcome outcome) = 0;
-    /// The server said something, to whichever request.
+    /// Notes that the server sent part of an answer, to any request.
     virtual void serverResponded(const Base::ServerId &server) = 0;
-    /// When that was last; empty if it never has.
+    /// Returns when the server last sent part of an answer; empty if it never has.
     virtual std::optional<Base::TimePoint> lastResponseFrom(const Base::ServerId &server) = 0;
-    /// Events of a stream went to their caller.
+    /// Notes that events of a stream were forwarded to their caller.
     virtual void eventsForwarded(std::size_t count) = 0;
     virtual void requestEnded(const EndedRequest &request) = 0;
     virtual void exchangeFinished(Routing::WorkId id) = 0;
 };
 
-/// A request that was found to be in order, with what decided so.
+/// A request that passed examination, with the data that the examination found.
 struct AcceptedRequest
 {
     Routing::WorkId id = 0;
     CallerRequest request;
     std::string requestId;
-    /// Kept, so that a newer configuration does not change the request half-way.
+    /// The configuration that the request was accepted under. It stays, so that a newer one does
+    /// not change the request half-way.
     std::shared_ptr<const Routing::RouteTable> table;
     const Routing::Route *route = nullptr;
     std::string service;
     Base::CustomerId customer;
     Routing::Work work;
-    /// The caller waits until then.
+    /// The caller stops waiting at this time.
     Base::TimePoint deadline;
 };
 
-/// One request from its acceptance to its final answer: attempts, repeats, the stream.
+/// One request from its acceptance to its final answer, with its attempts, retries and stream.
 ///
-/// The rule for repeats: a byte that was sent means that the attempt may have run, unless the
-/// server says that it did not. What may have run is sent again only if its class may be repeated,
+/// Once a byte of an attempt was sent, the attempt may have run, unless the server says that it did
+/// not. A request that may have run is only sent again if its class of work is repeatable, and
 /// within the class's number of attempts and the fleet's retry budget.
 class Exchange final : public ActiveRequest,
                        public BackendListener,
@@ -84,7 +86,7 @@
     void start();
     void placed(const Routing::Placement &placement);
     void turnedAway(const Routing::TurnedAway &why);
-    /// Looks at the request's time limits.
+    /// Checks the request's time limits.
     void checkTime(Base::TimePoint now);
     bool isFinished() const { return m_state == State::Finished; }
     bool isStream() const { return route().isStream(); }
@@ -108,7 +110,8 @@
     ForwardedFields forwardedFields(const Routing::RegisteredServer &server) const;
     void finishAttempt(Routing::AttemptOutcome outcome);
     void cancelAttempt(Routing::AttemptOutcome outcome);
-    /// The attempt is over without an answer: sends again, or gives the final answer.
+    /// Handles an attempt that ended without a usable answer: sends the request again, or gives the
+    /// final answer.
     void handleFailedAttempt(Routing::AttemptOutcome outcome, bool maybeRan);
     bool mayRetry(Routing::AttemptOutcome outcome, bool maybeRan);
     void handleWholeAnswer();
@@ -143,7 +146,7 @@
     Base::Duration m_expectedStart{};
     std::size_t m_eventCount = 0;
     unsigned m_status = 0;
-    /// Attempts that may have run, and attempts in all.
+    /// Number of attempts that may have run, and number of all attempts.
     unsigned m_possibleRuns = 0;
     unsigned m_sends = 0;
     bool m_mayHaveRun = false;
