--- a/src/libs/gateway/answersink.h
+++ b/src/libs/gateway/answersink.h
@@ -9,8 +9,8 @@
 
 namespace Gateway {
 
-/// Where the answer to one request goes. Either sendAnswer(), or startStream(), any number of
-/// sendEvents() and then endStream() or breakOff().
+/// Receives the answer to one request: either one sendAnswer(), or startStream(), any number of
+/// sendEvents() and then endStream() or abortAnswer().
 class AnswerSink
 {
 public:
@@ -19,21 +19,22 @@
     virtual void startStream(const ResponseHead &head) = 0;
     virtual void sendEvents(std::string_view data) = 0;
     virtual void endStream() = 0;
-    /// Closes the connection without an end, so that the answer cannot look complete.
+    /// Closes the connection without ending the answer, so that the answer cannot look complete.
     virtual void breakOff() = 0;
-    /// The answer is the last one of its connection. Call it before the answer.
+    /// Makes the answer the last one of its connection. Must be called before the answer is sent.
     virtual void closeAfterAnswer() = 0;
-    /// Whether the caller has closed its connection, read or not. Costs a system call.
+    /// Whether the caller has closed its connection, also if that has not been read yet. Costs a
+    /// system call.
     virtual bool isCallerGone() const = 0;
-    /// Whether the caller reads slower than its answer comes.
+    /// Whether output is held back because the caller reads more slowly than the answer arrives.
     virtual bool isBlocked() const = 0;
 };
 
-/// A caller's request, whole.
+/// A complete request of a caller.
 struct CallerRequest
 {
     Request message;
-    /// When its first byte was read.
+    /// The time at which the first byte of the request was read.
     Base::TimePoint readAt;
 };
 
@@ -42,14 +43,14 @@
 {
 public:
     virtual ~ActiveRequest() = default;
-    /// The caller closed its connection; the sink must not be used any more.
+    /// The caller has closed its connection. The sink must not be used any more.
     virtual void callerGone() = 0;
-    /// The caller has read what was held back.
+    /// The caller has read the output that was held back.
     virtual void callerReady() = 0;
 };
 
-/// Takes the requests of a listener. The sink lives until the answer is complete or
-/// ActiveRequest::callerGone() was called. Null if the answer was given at once.
+/// Handles the requests of a listener. handle() returns null if the request was answered at once.
+/// The sink lives until the answer is complete or ActiveRequest::callerGone() was called.
 class RequestHandler
 {
 public:
--- a/src/libs/gateway/boottime.h
+++ b/src/libs/gateway/boottime.h
@@ -6,11 +6,11 @@
 
 namespace Gateway {
 
-/// Monotonic time that also counts while the host is suspended (CLOCK_BOOTTIME), as a
-/// Base::TimePoint of its own: never mixed with Base::Clock::now().
+/// Returns the time of CLOCK_BOOTTIME, a monotonic clock that also counts while the host is
+/// suspended. It must not be mixed with Base::Clock::now().
 ///
-/// The steady clock stands still during a suspension. With it a host that wakes would take its
-/// lease on the configuration for fresh, and use keys that were taken away meanwhile.
+/// The steady clock stands still during a suspension. By that clock, a host that wakes up would
+/// still hold its lease on the configuration, and would use keys that were revoked in the meantime.
 inline Base::TimePoint bootTimeNow()
 {
     timespec time{};
