--- a/src/libs/gateway/storetimes.cpp
+++ b/src/libs/gateway/storetimes.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// The bound that the times of a default StoreTimes are made for.
+/// The bound that the default intervals are made for.
 constexpr double defaultBoundMs = 2000;
-/// Shorter times would meet reports that are still under way.
+/// With shorter intervals, hosts would read the store while reports are still under way.
 constexpr double minStretch = 0.75;
-/// Longer ones would show a server that crashed, or one that was added, later than callers notice.
+/// With longer intervals, a crashed or an added server would show up later than callers notice.
 constexpr double maxStretch = 2;
 
 double milliseconds(Base::Milliseconds time)
@@ -29,8 +29,8 @@
 {
     const StoreTimes defaults;
     const double changeBoundMs = milliseconds(std::min(bounds.configuration, bounds.leaving));
-    // A host that reads itself must have its proof before the keys' time is over, also if its first
-    // try is slow.
+    // A host that has to read the store itself must have its proof before the lease ends, even if
+    // its first try is slow.
     const double leaseMs = milliseconds(bounds.keyRevocation) * leaseShare;
     const double leaseStretch =
         (leaseMs - milliseconds(2 * slowReadLatency)) / milliseconds(defaults.fallbackReadAge);
