--- a/src/libs/gateway/hostload.cpp
+++ b/src/libs/gateway/hostload.cpp
@@ -11,10 +11,10 @@
 
 constexpr Base::Duration lineInterval = std::chrono::seconds(1);
 constexpr std::size_t maxNamedCustomers = 3;
-/// Customers that are counted: a line names those that had most, and memory has an end.
+/// Bounds the memory of the counts. A line only names the customers with the highest ones.
 constexpr std::size_t maxCountedCustomers = 1000;
 
-/// "CUSTOMER:COUNT ..." of those that have most.
+/// Returns the customers with the highest counts as "CUSTOMER:COUNT ...".
 std::string topCustomers(const std::map<Base::CustomerId, std::size_t> &counts)
 {
     std::vector<std::pair<std::size_t, Base::CustomerId>> sorted;
--- a/src/libs/gateway/hostload.h
+++ b/src/libs/gateway/hostload.h
@@ -10,21 +10,22 @@
 
 namespace Gateway {
 
-/// What a line about the load tells beside the counts.
+/// What a host load line of the log shows in addition to the counts.
 struct LoadSample
 {
     /// Processor time of this process since its start.
     Base::Duration processorTime{};
     double costFactor = 1;
-    /// Of the service whose share is lowest; empty if none is shared.
+    /// Lowest share level and lowest unmet level of all services with inference engines, in tokens;
+    /// empty if there is none (Routing::CustomerShares).
     std::optional<double> shareLevel;
     std::optional<double> unmetLevel;
-    /// Of the newest report of another host; empty if there is none.
+    /// Age of the newest report of another host; empty if there is none.
     std::optional<Base::Duration> reportAge;
 };
 
-/// Counts what a host did in the last second, for a line of the log: which hosts are behind, and
-/// whose streams they pass over, stands in no other line when many are dropped.
+/// Counts this host's work of the last second for a line of the log. When a host is overloaded and
+/// request lines are dropped, no other line shows whose streams it turns away.
 class HostLoadCounter
 {
 public:
@@ -32,11 +33,11 @@
     void addRefusal() { ++m_refusals; }
     void addEvents(std::size_t count) { m_events += count; }
     void addShedStream(const Base::CustomerId &customer);
-    /// There was work from \a since on, or longer, and none is left at \a now.
+    /// Adds the time from \a since to \a now, in which there was work.
     void addBusy(Base::TimePoint since, Base::TimePoint now);
-    /// Time since the start in which there was work.
+    /// Returns the time since the start in which there was work.
     Base::Duration busyTime() const { return m_busy; }
-    /// The line, once a second while there is load; empty otherwise.
+    /// Returns a line at most once a second, and only if something was counted; empty otherwise.
     std::optional<LogLine> line(const LoadSample &sample, Base::TimePoint now);
     bool isDue(Base::TimePoint now) const;
 
