--- a/src/libs/gateway/hostreport.cpp
+++ b/src/libs/gateway/hostreport.cpp
@@ -11,13 +11,13 @@
 
 using Json = nlohmann::json;
 
-/// First element of a report; another number is another form, which is not read.
+/// First element of a report. Reports with another format version are not read.
 constexpr std::uint64_t formatVersion = 8;
 constexpr double millisecondsPerSecond = 1000;
 constexpr std::uint64_t largestScope = static_cast<std::uint64_t>(ReportScope::Fleet);
 
-/// Reads the elements of an array one after the other. After the first that is missing or of
-/// another type, everything reads as empty and isGood() is false.
+/// Reads the elements of an array one after the other. After the first element that is missing or
+/// of another type, everything reads as empty and isGood() returns false.
 class ArrayReader
 {
 public:
@@ -41,7 +41,7 @@
         const Json *json = next();
         return json && check(json->is_boolean()) && json->get<bool>();
     }
-    /// Calls \a read with a reader of each element of an array of arrays.
+    /// Calls \a read with a reader for each element of an array of arrays.
     template <typename Read>
     void forEach(Read read)
     {
@@ -171,8 +171,8 @@
 Routing::ServerChange readChange(ArrayReader &reader)
 {
     Routing::ServerChange change;
-    // An unknown kind is read as one that makes the sets differ, which a reading of the store
-    // mends.
+    // An unknown kind is read as the largest known one. The sets of servers then differ, which a
+    // reading of the store corrects.
     const std::uint64_t kind = std::min(reader.number(), largestChangeKind);
     change.kind = static_cast<Routing::ServerChange::Kind>(kind);
     change.server.id = Base::ServerId(reader.text());
@@ -188,7 +188,7 @@
     return change;
 }
 
-/// Two elements, so that no number has to stand for none.
+/// Writes the age as two elements, so that no number has to stand for a missing age.
 void pushAge(Json &to, const std::optional<Base::Milliseconds> &age)
 {
     to.push_back(age.has_value());
@@ -228,14 +228,14 @@
     return store;
 }
 
-/// Null if \a bytes are not one CBOR item.
+/// Returns null if \a bytes are not exactly one CBOR item.
 Json parseCbor(std::string_view bytes)
 {
     try {
         return Json::from_cbor(bytes.begin(), bytes.end(), true, false);
     } catch (const Json::exception &) {
-        // A length that no memory holds is thrown although exceptions are not asked for. Not
-        // caught, nine bytes from anywhere would end the process.
+        // The library throws for a length that exceeds the memory even if exceptions are disabled.
+        // Uncaught, nine bytes from anywhere would end the process.
         return {};
     }
 }
--- a/src/libs/gateway/hostreport.h
+++ b/src/libs/gateway/hostreport.h
@@ -16,14 +16,14 @@
 
 namespace Gateway {
 
-/// Whose work a report's load is the sum of, and whose hosts its members are.
+/// The hosts that a report covers, by its load and its members.
 enum class ReportScope : std::uint8_t {
-    Host,  ///< The sender's own.
+    Host,  ///< Only the sender.
     Zone,  ///< All hosts of the sender's availability zone.
     Fleet, ///< All hosts.
 };
 
-/// A host as callers may be told of it.
+/// The state of a gateway host as other hosts and the entry list need it.
 struct MemberState
 {
     Base::HostId host;
@@ -31,39 +31,41 @@
     std::string peerAddress;
     std::string callerAddress;
     bool isLeaving = false;
-    /// Can serve requests now: knows a configuration that is proved current.
+    /// Whether the host can serve requests now: it knows a configuration that is proved current.
     bool isServing = false;
-    /// It does not reach the store, or has just come back to it; another host should read for its
-    /// zone.
+    /// Whether the host does not reach the store, or has just come back to it. Another host should
+    /// then read the store for its zone.
     bool isStoreLost = false;
-    /// What it may use of its processor, and what its forwarding takes of that.
+    /// The part of its processor that the host may use, and the part of it that its forwarding
+    /// takes.
     Routing::MilliCores capacity = 1000;
     Routing::MilliCores load = 0;
 
     bool operator==(const MemberState &) const = default;
 };
 
-/// What the sender knows of the store.
+/// The sender's state of the store's data.
 struct StoreState
 {
     std::uint64_t configurationVersion = 0;
-    /// Of the backend servers that it would use.
+    /// Fingerprint of the backend servers that the sender would use.
     std::uint64_t serversFingerprint = 0;
-    /// Version of the store at its last own reading of the servers.
+    /// Version of the store at the sender's own last reading of the servers.
     std::uint64_t serversVersion = 0;
-    /// What happened to servers of late, in order, so that the others need not read them all.
+    /// The latest changes of servers in order, so that other hosts need not read all servers.
     std::vector<Routing::ServerChange> serverChanges;
-    /// Set by a host that reads the store itself: how long ago, at the moment of sending, it asked
-    /// the question whose answer proved both current.
+    /// Set by a host that reads the store itself: the age, when the report was sent, of the
+    /// question whose answer proved both the configuration and the servers current.
     std::optional<Base::Milliseconds> proofAge;
-    /// Set while the store does not answer the sender: for how long, at the moment of sending.
+    /// Set while the store does not answer the sender: the duration of the outage when the report
+    /// was sent.
     std::optional<Base::Milliseconds> outageAge;
 
     bool operator==(const StoreState &) const = default;
 };
 
-/// What one gateway host tells others, several times a second. A newer report replaces an older
-/// one whole, so that a lost one does no harm.
+/// A report of one gateway host to others, sent several times a second. A newer report replaces an
+/// older one as a whole, so that a lost report does no harm.
 struct HostReport
 {
     MemberState self;
@@ -72,23 +74,23 @@
     std::uint64_t sequence = 0;
     ReportScope scope = ReportScope::Host;
     StoreState store;
-    /// The newest sequence heard from hosts that take their knowledge of the store from this one,
-    /// and whose work is in the load.
+    /// The newest sequence received from each host that takes its data of the store from this one
+    /// and whose work is part of the load.
     std::map<Base::HostId, std::uint64_t> echoes;
-    /// Of a zone or the fleet: the hosts, the sender left out.
+    /// The hosts of the zone or of the fleet, without the sender; empty in a report on one host.
     std::vector<MemberState> members;
     Routing::HostLoad load;
 
     bool operator==(const HostReport &) const = default;
 };
 
-/// The bytes of a datagram are no report.
+/// Error: the bytes are not a valid report.
 struct MalformedReport
 {};
 
-/// CBOR.
+/// Encodes a report as CBOR.
 std::string encodeReport(const HostReport &report);
-/// Takes any bytes; fails with MalformedReport.
+/// Decodes a report from any bytes. Fails with MalformedReport.
 Base::Result<HostReport> decodeReport(std::string_view bytes);
 
 } // namespace Gateway
