--- a/src/libs/gateway/services.cpp
+++ b/src/libs/gateway/services.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// One server's reading speed over its part of the whole throughput. The throughput counts what
-/// is generated twice; a server that only reads is about this much faster.
+/// Ratio of one server's prefill speed to its part of the total throughput. The throughput counts
+/// generated tokens twice; a server that only reads prompts is faster by about this factor.
 constexpr double prefillFactor = 1.15;
 
-/// Empty if the configuration does not tell what moving the memory of a token takes.
+/// Returns the time to transfer the memory of one token between servers, in milliseconds. Empty if
+/// the configuration does not state it.
 std::optional<double> moveMsPerToken(const Routing::EngineTraits &engine)
 {
     if (engine.bytesPerToken == 0 || engine.linkMbps == 0)
@@ -80,7 +81,8 @@
 
 void Services::serversChanged()
 {
-    // What one server reads is its part of the configured throughput.
+    // A server's reading speed is its part of the configured throughput, so it depends on the
+    // number of servers.
     configurationChanged();
     serversRead();
 }
@@ -122,7 +124,7 @@
 void Services::fillLevels(LoadSample &sample, Base::TimePoint now)
 {
     const auto keepLower = [](std::optional<double> &lowest, double level) {
-        // A log line has no way to write infinity.
+        // A log line cannot represent infinity.
         if (std::isfinite(level) && (!lowest || level < *lowest))
             lowest = level;
     };
--- a/src/libs/gateway/services.h
+++ b/src/libs/gateway/services.h
@@ -14,11 +14,12 @@
 
 namespace Gateway {
 
-/// What this host decides for each service: where its requests go, and how many are sent again.
+/// Makes this host's decisions for each service: where its requests are sent, and how many are
+/// retried.
 ///
-/// A service comes with its first request. What decisions rest on (the configuration, the backend
-/// servers, the work of other hosts) is taken from the replica and the fleet's view whenever they
-/// change; both outlive the services.
+/// A service is created with its first request. The input of the decisions (the configuration, the
+/// backend servers, the work of other hosts) is taken from the replica and the fleet view whenever
+/// they change. Both must outlive the services.
 class Services
 {
 public:
@@ -31,24 +32,25 @@
     Services(const GatewaySettings &settings, const StoreReplica &replica, const FleetView &fleet);
 
     Service &service(const std::string &name);
-    /// The work of all services that waits for a server.
+    /// Returns the number of requests of all services that wait for a server.
     std::size_t waiting() const;
 
     void configurationChanged();
-    /// Servers came or went.
+    /// Must be called when servers came or went.
     void serversChanged();
-    /// Slots and warm-up of servers may be others; none came or went by this.
+    /// Must be called when the slots or warm-up times of servers may have changed and no server
+    /// came or went.
     void serversRead();
     void retryAllowanceChanged(const Routing::RetryAllowance &allowance);
     void othersChanged();
     void learnPartUses(const std::vector<Routing::PartUse> &uses, Base::TimePoint now);
 
-    /// Fills in the levels of \a figures.
+    /// Fills in the share level and the unmet level of \a sample.
     void fillLevels(LoadSample &sample, Base::TimePoint now);
     /// Adds the work of all services to \a load, for a report.
     void report(Routing::HostLoad &load, Base::TimePoint now);
-    /// Hands each service's decisions that time brings to \a apply, before the next service
-    /// decides.
+    /// Lets each service make the decisions that are due. Its decisions are passed to \a apply
+    /// before the next service decides.
     void advance(Base::TimePoint now, const std::function<void(const Routing::Decisions &)> &apply);
 
 private:
