--- a/src/libs/gateway/entryboard.cpp
+++ b/src/libs/gateway/entryboard.cpp
@@ -31,8 +31,9 @@
 
 double EntryHostSelector::trafficShare(const Base::HostId &self, Base::TimePoint now) const
 {
-    // Half by what is forwarded: callers may stay with a host that is not named to them. Half in
-    // equal parts to the hosts that are named, since those get what is to come.
+    // One half of the share follows the forwarded traffic, since callers may stay with a host that
+    // is not named to them. The other half is the same for all named hosts, since they get the
+    // traffic to come.
     const double namedHosts = static_cast<double>(m_selection.chosen().size());
     const double namedShare = m_selection.isChosen(self) ? 1.0 / namedHosts : 0.0;
     if (m_fleetLoad <= 0)
