--- a/tests/auto/gateway/tst_fleetview.cpp
+++ b/tests/auto/gateway/tst_fleetview.cpp
@@ -46,7 +46,7 @@
     return it;
 }
 
-/// Callers' addresses of the other hosts that may be named.
+/// Returns the caller addresses of the other hosts that may be named to callers.
 std::vector<std::string> servingAddresses(const FleetView &view, Base::TimePoint now)
 {
     std::vector<std::string> addresses;
@@ -60,7 +60,7 @@
     return {Base::HostId(host), Base::ZoneId(zone)};
 }
 
-/// Hosts of several zones that send each other what is due, each 200 ms; some may be down.
+/// Hosts of several zones that exchange their due reports every 200 ms. Hosts may be down.
 class SimulatedFleet
 {
     struct Host;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// As step(), but each host at a time of its own within the 200 ms.
+    /// Like step(), but each host reports at its own time within the 200 ms.
     void stepStaggered(Base::TimePoint now)
     {
         constexpr std::size_t turns = 4;
@@ -153,18 +153,18 @@
         }
     }
 
-    /// Host \a i sent \a count new prompt parts to servers.
+    /// Host \a i sends \a count new prompt parts to servers.
     void use(std::size_t i, std::uint64_t count)
     {
         for (std::uint64_t part = 0; part < count; ++part)
             m_hosts[i].newUses.push_back({Base::ServerId("s"), part});
     }
     std::size_t receivedUses(std::size_t i) const { return m_hosts[i].receivedUses; }
-    /// Uses told in the last step, by all hosts to all.
+    /// Returns the number of uses that all hosts sent to all others in the last step.
     std::size_t sentUses() const { return m_sentUses; }
 
     FleetView &view(std::size_t i) { return *m_hosts[i].view; }
-    /// The store turns host \a i away.
+    /// Sets whether the store rejects host \a i.
     void setStoreLost(std::size_t i, bool isLost)
     {
         m_hosts[i].self.isStoreLost = isLost;
@@ -177,7 +177,7 @@
     }
     void setDown(std::size_t i, bool isDown) { m_hosts[i].isDown = isDown; }
     bool isDown(std::size_t i) const { return m_hosts[i].isDown; }
-    /// Host \a i starts anew and knows only whom the store lists.
+    /// Restarts host \a i, which then only knows the hosts that the store lists.
     void restart(std::size_t i)
     {
         Host &host = m_hosts[i];
@@ -187,13 +187,13 @@
         host.view = std::make_unique<FleetView>(host.self.host, host.self.zone);
         host.view->addHostRows(m_rows, m_now);
     }
-    /// From now on so many of a hundred datagrams are lost, by chance.
+    /// From now on, \a percent of the datagrams are lost at random.
     void setLoss(int percent, std::uint32_t seed)
     {
         m_lossPercent = percent;
         m_random.seed(seed);
     }
-    /// What each host is asked for by the customer.
+    /// Tokens that the customer requests from each host.
     static constexpr double askedOfHost = 10;
     Base::TimePoint now() const { return m_now; }
     std::size_t datagrams() const { return m_datagrams; }
@@ -220,8 +220,8 @@
     Base::TimePoint m_now = start;
 };
 
-/// What hosts that are up believed of the fleet, at the worst, over some time. Sums in parts of the
-/// truth.
+/// The worst values that hosts that are up had of the fleet during some time. Sums are ratios to
+/// the true sum.
 struct WorstView
 {
     double least = 1;
@@ -230,7 +230,7 @@
     std::size_t leastNamed = 1000;
 };
 
-/// Plays on for \a time. What host \a starting believes is left out.
+/// Runs the fleet for \a time and returns the worst view. The view of host \a starting is left out.
 WorstView runFor(SimulatedFleet &hosts, Base::Milliseconds time,
                  std::optional<std::size_t> starting = {})
 {
@@ -257,8 +257,8 @@
     return worst;
 }
 
-/// Half of the truth lets a customer in for twice its level, the most that a moment without one of
-/// the four zones and some lost reports may cost. A zone that counts twice makes 1.25.
+/// Half of the true sum admits twice a customer's share, which is the most that a moment without
+/// one of the four zones and some lost reports may cost. A zone that is counted twice gives 1.25.
 void checkWorstView(const WorstView &worst, std::size_t hosts)
 {
     CHECK(worst.least > 0.5);
@@ -267,7 +267,8 @@
     CHECK(worst.leastNamed > hosts / 2);
 }
 
-/// A fleet of 32 hosts in four zones that loses one report in ten, a while after its start.
+/// Returns a fleet of 32 hosts in four zones that has been running for a while and loses one report
+/// in ten.
 std::unique_ptr<SimulatedFleet> settledFleet(std::uint32_t seed)
 {
     auto hosts = std::make_unique<SimulatedFleet>(4, 8);
@@ -299,7 +300,8 @@
     const auto after = decodeReport(encodeReport(before));
     REQUIRE(after);
     CHECK(*after == before);
-    // An array of more elements than there is memory for: the library throws whatever it was asked.
+    // An array of more elements than there is memory for: the library throws whatever it was asked
+    // to do.
     CHECK_FALSE(decodeReport("\x9B"
                              "aaaaaaaa"));
     rc::prop("any bytes", [](const std::string &bytes) { (void)decodeReport(bytes); });
@@ -325,7 +327,7 @@
     CHECK(view.others().servers.at(Base::ServerId("s")).running == 3);
     CHECK(view.others().received.at(Base::CustomerId("c")) == 40);
     CHECK(view.others().begun.at(Base::CustomerId("c")) == 30);
-    // Both ends of a cut link keep trying for a while.
+    // Both ends of a broken link keep trying for a while.
     CHECK(view.dueReports(later).front().receivers.size() == 2);
     view.advance(start + seconds(60));
     CHECK(view.dueReports(start + seconds(60)).front().receivers.empty());
@@ -358,16 +360,16 @@
     restarted.self.isLeaving = true;
     CHECK(view.receive(restarted, start));
     CHECK(servingAddresses(view, start).empty());
-    // Its own report, sent back by a wrong address, is no other host.
+    // A host's own report, sent back by a wrong address, is not one of another host.
     CHECK_FALSE(view.receive(report("self", 1), start));
     CHECK(view.liveHosts(start) == 2);
 }
 
 TEST_CASE("a proof counts from when the report that it echoes was sent", "[gateway]")
 {
-    // A key is taken away. A host that was suspended wakes, reads a datagram of before its
-    // suspension that says "current as of a second ago", and uses the key. Cause: the age was
-    // counted from when the datagram was read.
+    // Guards against the use of a revoked key by a host that wakes from a suspension and reads a
+    // datagram of before the suspension that says "current as of a second ago". This happens if the
+    // age of a proof is counted from when the datagram is read.
     FleetView view = viewOf("self");
     view.recordSentReport(41, {}, start);
     view.recordSentReport(42, {}, start + seconds(1));
@@ -377,7 +379,7 @@
     CHECK(view.echoedSendTime(proof) == start);
     proof.echoes[Base::HostId("self")] = 42;
     CHECK(view.echoedSendTime(proof) == start + seconds(1));
-    // Of another start of this host: it proves nothing.
+    // The sequence belongs to another start of this host, so it proves nothing.
     proof.echoes[Base::HostId("self")] = 7;
     CHECK_FALSE(view.echoedSendTime(proof));
 }
@@ -388,7 +390,7 @@
     Base::TimePoint now = start;
     for (int i = 0; i < 20; ++i)
         hosts.step(now += milliseconds(200));
-    // A report of each host, a sum for each, and the leaders among themselves.
+    // Each host sends a report, each host receives a summary, and the leaders exchange theirs.
     CHECK(hosts.datagrams() < 64 + 64 + 16);
     for (std::size_t i = 0; i < hosts.size(); ++i) {
         CHECK(hosts.view(i).liveHosts(now) == 64);
@@ -404,8 +406,8 @@
 
 TEST_CASE("a zone whose leader is down has another one after the time of silence", "[gateway]")
 {
-    // The host that sums up a zone loses power. For two seconds its zone places work by old loads;
-    // then the next host by name sums up, and nobody counts the lost one.
+    // The leader of a zone loses power. Its zone works with old loads for two seconds; then the
+    // next host by name sends summaries, and no host counts the lost one any more.
     SimulatedFleet hosts(4, 16);
     Base::TimePoint now = start;
     for (int i = 0; i < 20; ++i)
@@ -429,11 +431,10 @@
 
 TEST_CASE("a use of a prompt part is told to each host of a large fleet once", "[gateway]")
 {
-    // Callers of a large fleet wait long, since servers read prompt parts that others keep. Minutes
-    // before, hosts sent some parts to servers and told so. Cause: each leader told the other
-    // leaders what it had heard from them; the uses went round, three times as many each time,
-    // until they filled the reports, kept dropped parts from being forgotten, and left no room for
-    // news.
+    // Guards against leaders that relay to other leaders what they have received from them. The
+    // uses then circulate and triple in number each time, until they fill the reports, keep dropped
+    // parts from being forgotten and leave no room for new uses. Callers of a large fleet then wait
+    // long, since servers read prompt parts again that other servers hold.
     SimulatedFleet hosts(4, 16);
     Base::TimePoint now = start;
     for (int i = 0; i < 20; ++i)
@@ -444,16 +445,17 @@
         hosts.step(now += milliseconds(200));
     CHECK(hosts.sentUses() == 0);
     for (std::size_t i = 0; i < hosts.size(); ++i) {
-        // Its own come back to it with the sum for its zone.
+        // Its own uses come back to a host with the summary for its zone.
         CHECK(hosts.receivedUses(i) == 3);
     }
 }
 
 TEST_CASE("a host that the store turns away does not read for its zone", "[gateway]")
 {
-    // The store turns a third of the hosts away for nine seconds, one that reads for its zone among
-    // them. All hosts of the zone call the store for themselves, some seven calls a second each,
-    // and those that it turns away refuse requests. Cause: the reader stayed the first by name.
+    // The store rejects a third of the hosts for nine seconds, among them the leader of a zone.
+    // Guards against a leader that stays the first host by name: all hosts of its zone would call
+    // the store themselves, about seven times a second each, and those that the store rejects would
+    // refuse requests.
     SimulatedFleet hosts(2, 16);
     Base::TimePoint now = start;
     for (int i = 0; i < 10; ++i)
@@ -466,7 +468,7 @@
     for (std::size_t i = 0; i < 16; ++i)
         CHECK(hosts.view(i).isLeader(now) == (i == 2));
     CHECK(hosts.view(0).others().servers.at(Base::ServerId("s")).running == 31);
-    // With the store down for all, there still is one leader, and sums go on.
+    // With the store down for all hosts, there still is one leader, and summaries continue.
     for (std::size_t i = 0; i < 16; ++i)
         hosts.setStoreLost(i, true);
     for (int i = 0; i < 4; ++i)
@@ -477,8 +479,9 @@
 
 TEST_CASE("the work of another zone counts once while its leader changes", "[gateway]")
 {
-    // A zone gets another leader, and for up to two seconds its work counts twice elsewhere. Cause:
-    // reports of both leaders were summed, and what hosts of the zone announced to all besides.
+    // Guards against work of a zone that counts twice elsewhere for up to two seconds when its
+    // leader changes. This happens if the summaries of both leaders are added up, or the reports
+    // that hosts of the zone announce to all hosts are added to them.
     FleetView view = viewOf("self");
     const auto otherZone = [](const std::string &host, ReportScope scope, double asked) {
         HostReport it = report(host, 1);
@@ -497,7 +500,7 @@
     };
     view.receive(otherZone("y1", ReportScope::Host, 7), start);
     view.receive(otherZone("y2", ReportScope::Host, 8), start);
-    // Nobody sums up the zone yet.
+    // The zone has no leader that sends summaries yet.
     CHECK(asked(start) == 15);
     view.receive(otherZone("y3", ReportScope::Zone, 500), start);
     CHECK(asked(start) == 500);
@@ -513,8 +516,9 @@
 
 TEST_CASE("sums go on while the leader of a zone is killed", "[gateway]")
 {
-    // A leader is killed, and for half a second each host of its zone lets in everybody. Cause: the
-    // sums went with its last report, and each host took itself for alone and the leader.
+    // Guards against hosts of a zone that admit every request for half a second after their leader
+    // was killed. This happens if the summaries are discarded with the leader's last report, and
+    // each host takes itself for alone and thus for the leader.
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
         INFO("seed " << seed);
         const auto hosts = settledFleet(seed);
@@ -522,7 +526,8 @@
         checkWorstView(runFor(*hosts, seconds(5)), hosts->size());
         CHECK(hosts->view(1).isLeader(hosts->now()));
         hosts->restart(0);
-        // A host that starts has yet to hear of the others: three reports, one or two may be lost.
+        // A host that starts needs three reports to learn of the others, of which one or two may be
+        // lost.
         checkWorstView(runFor(*hosts, milliseconds(600), 0), hosts->size());
         checkWorstView(runFor(*hosts, seconds(5)), hosts->size());
         CHECK(hosts->view(0).isLeader(hosts->now()));
@@ -532,8 +537,9 @@
 
 TEST_CASE("sums go on while two hosts that lead in turn are killed", "[gateway]")
 {
-    // The next leader is killed with the leader, and the zone reports to it in vain. Cause: the
-    // next by name was waited for until the last sums were too old.
+    // Guards against a zone that reports in vain to the next leader, which was killed together with
+    // the leader. This happens if the zone waits for the next host by name until the last summaries
+    // are too old.
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
         INFO("seed " << seed);
         const auto hosts = settledFleet(seed);
@@ -546,8 +552,9 @@
 
 TEST_CASE("sums go on while the leader of a zone leaves", "[gateway]")
 {
-    // A leader is told to stop, and each host of its zone lets in everybody. Cause: what it sent to
-    // all to tell that it leaves replaced the sums that it had told.
+    // Guards against hosts of a zone that admit every request when their leader is told to stop.
+    // This happens if the report by which it announces to all hosts that it is leaving replaces its
+    // summaries.
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
         INFO("seed " << seed);
         const auto hosts = settledFleet(seed);
@@ -561,9 +568,9 @@
 
 TEST_CASE("sums go on while the store turns the leader of a zone away", "[gateway]")
 {
-    // The store turns a leader away and takes it back, and both times each host of its zone lets in
-    // everybody. Cause: its announcement replaced the sums that it had told, and the one that leads
-    // next told sums before it had heard of its zone.
+    // Guards against hosts of a zone that admit every request when the store rejects their leader,
+    // and again when it accepts it. This happens if the leader's announcement replaces its
+    // summaries, and the next leader sends summaries before it has heard from its zone.
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
         INFO("seed " << seed);
         const auto hosts = settledFleet(seed);
