--- a/tests/auto/gateway/tst_exchange.cpp
+++ b/tests/auto/gateway/tst_exchange.cpp
@@ -38,7 +38,7 @@
     std::vector<unsigned> statuses;
 };
 
-/// A gateway of one server, which places work when it is told to.
+/// A gateway with one server. It places work when the test tells it to.
 class SingleServerPort final : public ExchangePort
 {
 public:
@@ -128,7 +128,7 @@
 
 } // namespace
 
-// Guards against servers that work for callers who left while their request lay unread.
+// Guards against servers that work for callers who left before their request was read.
 TEST_CASE("a request whose caller has left is not sent", "[gateway]")
 {
     SingleServerPort port;
@@ -141,7 +141,7 @@
     CHECK_FALSE(port.backend.isCalled());
     CHECK(exchange->isFinished());
     CHECK(port.ended == std::vector<std::string>{"caller_gone"});
-    // Its place is free again, and the server is not blamed.
+    // The server's slot is free again, and the server is not blamed.
     CHECK(port.outcomes == std::vector{Routing::AttemptOutcome::Withdrawn});
 }
 
