--- a/tests/auto/gateway/tst_hostload.cpp
+++ b/tests/auto/gateway/tst_hostload.cpp
@@ -9,8 +9,8 @@
 TEST_CASE("the line about a host's load comes once a second and names those passed over most",
           "[gateway]")
 {
-    // Guards against a host that is behind for seconds and whose log does not say whose streams it
-    // turns away.
+    // Guards against a host that is overloaded for seconds while its log does not say whose streams
+    // it turns away.
     const Base::TimePoint start{seconds(100)};
     HostLoadCounter counts;
     LoadSample sample;
@@ -33,7 +33,7 @@
         "\"event\":\"host.load\",\"busyMs\":700,\"processorMs\":60,\"costFactor\":1.500,"
         "\"requests\":1,\"refusals\":1,\"events\":12,\"passedOver\":\"c9:10 c8:9 c7:8\","
         "\"shareLevel\":2000.000}\n"));
-    // Nothing more came.
+    // No further work was counted.
     CHECK_FALSE(counts.line(sample, start + seconds(2)));
     counts.addEvents(1);
     const auto next = counts.line(sample, start + seconds(3));
