--- a/tests/auto/gateway/tst_entryboard.cpp
+++ b/tests/auto/gateway/tst_entryboard.cpp
@@ -22,7 +22,7 @@
     return it;
 }
 
-/// Ten strong hosts, each with \a load.
+/// Returns ten strong hosts with \a load each.
 std::vector<MemberState> strongHosts(Routing::MilliCores load)
 {
     std::vector<MemberState> hosts;
@@ -35,15 +35,16 @@
 
 TEST_CASE("a host that is not named gets connections by what it forwards", "[gateway]")
 {
-    // A customer's callers stay with a small host that nobody is told of, and get 503 although
-    // servers have room: a host that is not named had four connections to each server.
+    // Guards against a small host that is not named to callers and may open only four connections
+    // to each server. A customer whose callers stay with that host would get 503 although servers
+    // have room.
     EntryHostSelector selector;
     Base::TimePoint now = start;
     for (int i = 0; i < 4000; ++i) {
         now += milliseconds(2);
         selector.addEvents(5, now);
     }
-    // About 100 ms of processor time a second, as much as each of the others.
+    // The load is about 100 ms of processor time a second, as much as that of each other host.
     const MemberState self = member("weak", 120, selector.load(now));
     CHECK(self.load >= 95);
     CHECK(self.load <= 105);
