--- a/tests/auto/gateway/tst_storereplica.cpp
+++ b/tests/auto/gateway/tst_storereplica.cpp
@@ -100,8 +100,8 @@
     std::unique_ptr<StoreReplica> replica;
 };
 
-/// Hosts, mostly of one zone, and their store, on this thread and loopback. Reports go without a
-/// network.
+/// Hosts, mostly of one zone, and their store, on one thread and loopback. Reports are delivered
+/// without a network.
 class StoreFleet
 {
 public:
@@ -136,7 +136,7 @@
                                                    m_log, m_buffer));
         }
     }
-    /// The rows of all hosts are listed.
+    /// Lists the rows of all hosts in the store.
     void listHosts()
     {
         protocol.rows.clear();
@@ -148,7 +148,7 @@
         const Base::TimePoint end = bootTimeNow() + time;
         runUntil([&] { return bootTimeNow() >= end; }, time + seconds(1));
     }
-    /// False if \a condition does not hold in \a limit.
+    /// Returns false if \a condition does not become true within \a limit.
     bool runUntil(const std::function<bool()> &condition, Base::Duration limit = seconds(5))
     {
         const Base::TimePoint end = bootTimeNow() + limit;
@@ -191,7 +191,7 @@
         }
     }
 
-    // Before what has sockets of it.
+    // Declared before the members that own sockets of it.
     boost::asio::io_context m_io;
     int m_null;
     EventLog m_log;
@@ -211,10 +211,10 @@
 
 TEST_CASE("a new configuration costs the store calls of its readers only", "[gateway]")
 {
-    // Keys are taken away three times in a second, and each host reads the configuration each time.
-    // On 195 hosts that were 1,200 of 6,500 calls of the store within eighteen seconds, all paid
-    // for, and their bytes too. Cause: hosts that others read for were told only that there was
-    // something newer.
+    // Keys are revoked three times in a second. Guards against every host reading the configuration
+    // each time, which happens if hosts are only told that there is a newer one. With 195 hosts
+    // that took 1,200 of 6,500 calls of the store within 18 seconds, and each call and its bytes
+    // have a price.
     StoreFleet zone;
     zone.addHosts(16);
     zone.listHosts();
@@ -223,7 +223,7 @@
     zone.store.calls.clear();
     zone.store.version = 8;
     REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(8); }, seconds(1)));
-    // The leader's watch brought it.
+    // The leader's watch returned it.
     CHECK(zone.store.calls["/configuration"] <= 1);
     CHECK(zone.store.calls["/servers"] <= 3);
 }
@@ -231,26 +231,26 @@
 TEST_CASE("a host that the store turns away has a new configuration from its neighbours",
           "[gateway]")
 {
-    // The store turns a third of the hosts away for nine seconds, and in that time keys are taken
-    // away. Callers of those hosts get 503 until the end of it although every neighbour knows the
-    // new keys. Cause: a host that was told of a newer configuration could get it from the store
-    // only.
+    // The store rejects a third of the hosts for nine seconds, and in that time keys are revoked.
+    // Guards against hosts that answer 503 until the end of it although their neighbours know the
+    // new keys, which happens if a host that is told of a newer configuration can only get it from
+    // the store.
     StoreFleet zone;
     zone.addHosts(3);
     zone.listHosts();
     REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(7); }));
-    // The leader watches; whatever else is asked is refused.
+    // The leader's watch goes on, and all other calls are rejected.
     zone.store.refused["/configuration"] = true;
     zone.store.version = 8;
-    // Sooner than a host reads for itself that has had no proof.
+    // This is sooner than a host without a new proof would read the store itself.
     CHECK(zone.runUntil([&] { return zone.allHoldVersion(8); },
                         StoreTimes().fallbackReadAge - milliseconds(400)));
 }
 
 TEST_CASE("hosts that start beside others take everything from them", "[gateway]")
 {
-    // Hosts are replaced in turn. Each start costs the store five calls, and on a fleet whose hosts
-    // restart 2,600 times a day that is what it pays most for.
+    // Hosts are replaced in turn. Guards against starts that cost the store five calls each, which
+    // is the largest part of the price of a fleet whose hosts restart 2,600 times a day.
     StoreFleet zone;
     zone.addHosts(4);
     zone.listHosts();
@@ -260,7 +260,8 @@
     zone.addHosts(12);
     REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(7); }, seconds(1)));
     CHECK(zone.store.calls["/configuration"] == 0);
-    // Each reads the rows once; the leader goes on reading the servers, and keeps all rows.
+    // Each host reads the rows once. The leader goes on reading the servers and keeps all rows
+    // fresh.
     CHECK(zone.store.calls["/hosts"] <= 13);
     CHECK(zone.store.calls["/servers"] <= 4);
     CHECK(zone.store.calls["/row"] <= 1);
@@ -268,15 +269,15 @@
 
 TEST_CASE("hosts that all start at once find each other and leave the reading to one", "[gateway]")
 {
-    // A new fleet starts, and nobody has a row. Each host asked the store again and again for a
-    // configuration that was not there yet.
+    // A new fleet starts, and no host has a row yet. Guards against hosts that ask the store again
+    // and again for a configuration that does not exist yet.
     StoreFleet zone;
     zone.store.version = 0;
     zone.addHosts(16);
     zone.runFor(milliseconds(700));
     zone.listHosts();
     zone.runFor(milliseconds(2500));
-    // Nobody has read the configuration before the leader did, and it is the one that goes on.
+    // No host has read the configuration before the leader did, and only the leader goes on.
     CHECK(zone.store.calls["/configuration"] <= 16);
     CHECK(zone.store.calls["/hosts"] <= 2 * 16);
     zone.store.version = 7;
@@ -285,8 +286,8 @@
 
 TEST_CASE("who gets no copy asks the store", "[gateway]")
 {
-    // All hosts lose power at once and their rows are still there: the first one to be asked has
-    // nothing. Nobody may wait for it.
+    // All hosts lose power at once and their rows still exist, so the first host that is asked for
+    // a copy has none. No host may wait for it.
     StoreFleet zone;
     zone.addHosts(6);
     zone.listHosts();
@@ -295,10 +296,10 @@
 
 TEST_CASE("a host hands out no servers that it keeps only since the store was away", "[gateway]")
 {
-    // The store is away, a server is gone when it returns, and the host that leads the zone drops
-    // it two seconds later. Callers of it get answers from the gone server again. Cause: another
-    // host, which had not read the list again since its own two seconds were over, handed out the
-    // old one.
+    // The store is away, a server is gone when it returns, and the leader drops that server two
+    // seconds later. Guards against callers that get answers from it again. This happens if another
+    // host hands out its old list, because it has not read the list again since its own two seconds
+    // ended.
     StoreFleet zone;
     zone.addHosts(2);
     zone.listHosts();
@@ -332,7 +333,8 @@
     CHECK(hasDropped == std::vector<bool>(zone.hosts.size(), true));
 }
 
-// Guards against callers without servers after an outage that only the host before met.
+// Guards against callers without servers after an outage that only the previous reader of the store
+// noticed.
 TEST_CASE("who takes over from a host that lost the store keeps servers whose entries lapsed",
           "[gateway]")
 {
@@ -353,17 +355,17 @@
         return !std::all_of(zone.hosts.begin(), zone.hosts.end(), hasServer);
     };
     CHECK_FALSE(zone.runUntil(isAnyEmpty, milliseconds(1500)));
-    // Those that do not come back are gone all the same.
+    // Servers whose entries do not come back are dropped in the end.
     CHECK(zone.runUntil(
         [&] { return std::none_of(zone.hosts.begin(), zone.hosts.end(), hasServer); }, seconds(5)));
 }
 
 TEST_CASE("hosts of a small fleet that start together all hear of each other", "[gateway]")
 {
-    // A customer whose callers use all hosts is served three times as much as one whose callers
-    // stay with one host. Cause: of each zone only the leader had read and written rows, so the
-    // other hosts of different zones never sent each other reports, and each counted a part of what
-    // the first customer received.
+    // Guards against a customer whose callers use all hosts and who is served three times as much
+    // as one whose callers stay with one host. This happens if only the leader of each zone reads
+    // and writes rows: the other hosts of different zones never send each other reports, and each
+    // counts only a part of what the first customer received.
     StoreFleet fleet;
     for (const char *zone : {"a", "b", "c"})
         fleet.addHosts(2, zone);
