--- a/tests/auto/gateway/plainstore.h
+++ b/tests/auto/gateway/plainstore.h
@@ -12,9 +12,8 @@
 
 namespace Gateway {
 
-/// A protocol whose answers are a version of the store, and nothing else: the rows of hosts are
-/// those that it is given and those that were written, the entries of servers those that it is
-/// given.
+/// A fake protocol whose answers consist of a version of the store only. The listed hosts are the
+/// given rows and those that were written; the listed servers are the given entries.
 class PlainProtocol final : public StoreProtocol
 {
 public:
@@ -28,7 +27,7 @@
         BOOST_LEAF_CHECK(checked(answer));
         Routing::RoutingConfiguration configuration;
         configuration.version = std::stoull(answer.body);
-        // The store is never empty: servers write there before the operator does.
+        // The store is never empty, since servers write to it before the operator does.
         return ConfigurationReading{configuration.version + 1, configuration};
     }
     HttpCall readServers(const std::string &) const override { return {"GET", "/servers", {}}; }
@@ -74,8 +73,8 @@
     }
 };
 
-/// A store on loopback: answers each path with its version, or with 503 or not at all where it is
-/// told to.
+/// A fake store on loopback. It answers each path with its version, or as told with 503 or not at
+/// all.
 class PlainStore final : public RequestHandler
 {
 public:
@@ -96,11 +95,11 @@
     }
 
     std::uint64_t version = 7;
-    /// What hosts wrote, a line for each row.
+    /// The rows that hosts wrote, one per line.
     std::string writtenRows;
     std::map<std::string, int> calls;
     std::map<std::string, bool> refused;
-    /// The connection of the next call ends without an answer.
+    /// The next call of the path loses its connection without an answer.
     std::map<std::string, bool> breaksOnce;
 };
 
