--- a/tests/auto/gateway/tst_entryboard.cpp
+++ b/tests/auto/gateway/tst_entryboard.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST_CASE("a host that is not named gets connections by what it forwards", "[gateway]")
+TEST_CASE("a host that is not named gets connections in proportion to its traffic", "[gateway]")
 {
     // Guards against a small host that is not named to callers and may open only four connections
     // to each server. A customer whose callers stay with that host would get 503 although servers
@@ -55,7 +55,7 @@
     CHECK(share < 0.06);
 }
 
-TEST_CASE("before there is traffic the named hosts share the connections alike", "[gateway]")
+TEST_CASE("without traffic the named hosts share the connections equally", "[gateway]")
 {
     EntryHostSelector selector;
     const MemberState self = member("strong-9", 500, 0);
@@ -68,7 +68,7 @@
     CHECK(selector.trafficShare(Base::HostId("other"), start) == 0);
 }
 
-TEST_CASE("a host that cannot serve names itself only if nobody else is there", "[gateway]")
+TEST_CASE("a host that cannot serve names itself only if there is no other host", "[gateway]")
 {
     EntryHostSelector selector;
     MemberState self = member("self", 500, 0);
--- a/tests/auto/gateway/tst_fleetview.cpp
+++ b/tests/auto/gateway/tst_fleetview.cpp
@@ -280,7 +280,7 @@
 
 } // namespace
 
-TEST_CASE("a report comes out as it went in, and no bytes do harm", "[gateway]")
+TEST_CASE("a report survives encoding and decoding, and no bytes crash the decoder", "[gateway]")
 {
     HostReport before = report("a", 1);
     before.scope = ReportScope::Fleet;
@@ -333,7 +333,7 @@
     CHECK(view.dueReports(start + seconds(60)).front().receivers.empty());
 }
 
-TEST_CASE("hosts that leave or cannot serve are not named while others can", "[gateway]")
+TEST_CASE("hosts that leave or cannot serve are not named while others can serve", "[gateway]")
 {
     FleetView view = viewOf("self");
     HostReport leaving = report("a", 1);
@@ -347,7 +347,7 @@
     CHECK(servingAddresses(view, start) == std::vector<std::string>{"c:8000"});
 }
 
-TEST_CASE("a late report of an older start or sequence changes nothing", "[gateway]")
+TEST_CASE("a late report of an earlier start or sequence is ignored", "[gateway]")
 {
     FleetView view = viewOf("self");
     CHECK(view.receive(report("a", 7), start));
@@ -365,7 +365,7 @@
     CHECK(view.liveHosts(start) == 2);
 }
 
-TEST_CASE("a proof counts from when the report that it echoes was sent", "[gateway]")
+TEST_CASE("the age of a proof counts from when the echoed report was sent", "[gateway]")
 {
     // Guards against the use of a revoked key by a host that wakes from a suspension and reads a
     // datagram of before the suspension that says "current as of a second ago". This happens if the
@@ -384,7 +384,7 @@
     CHECK_FALSE(view.echoedSendTime(proof));
 }
 
-TEST_CASE("on a large fleet every host knows all work, with few datagrams", "[gateway]")
+TEST_CASE("in a large fleet every host knows the whole load with few datagrams", "[gateway]")
 {
     SimulatedFleet hosts(4, 16);
     Base::TimePoint now = start;
@@ -404,7 +404,7 @@
     CHECK(leaders == 4);
 }
 
-TEST_CASE("a zone whose leader is down has another one after the time of silence", "[gateway]")
+TEST_CASE("a zone gets another leader after its leader has been silent", "[gateway]")
 {
     // The leader of a zone loses power. Its zone works with old loads for two seconds; then the
     // next host by name sends summaries, and no host counts the lost one any more.
@@ -429,7 +429,7 @@
     CHECK(hosts.view(40).liveHosts(now) == 64);
 }
 
-TEST_CASE("a use of a prompt part is told to each host of a large fleet once", "[gateway]")
+TEST_CASE("a use of a prompt part is sent to each host of a large fleet once", "[gateway]")
 {
     // Guards against leaders that relay to other leaders what they have received from them. The
     // uses then circulate and triple in number each time, until they fill the reports, keep dropped
@@ -450,7 +450,7 @@
     }
 }
 
-TEST_CASE("a host that the store turns away does not read for its zone", "[gateway]")
+TEST_CASE("a host that the store rejects does not lead its zone", "[gateway]")
 {
     // The store rejects a third of the hosts for nine seconds, among them the leader of a zone.
     // Guards against a leader that stays the first host by name: all hosts of its zone would call
@@ -514,7 +514,7 @@
     CHECK(asked(later) == 600);
 }
 
-TEST_CASE("sums go on while the leader of a zone is killed", "[gateway]")
+TEST_CASE("summaries continue while the leader of a zone is killed", "[gateway]")
 {
     // Guards against hosts of a zone that admit every request for half a second after their leader
     // was killed. This happens if the summaries are discarded with the leader's last report, and
@@ -535,7 +535,7 @@
     }
 }
 
-TEST_CASE("sums go on while two hosts that lead in turn are killed", "[gateway]")
+TEST_CASE("summaries continue while a leader and its successor are killed", "[gateway]")
 {
     // Guards against a zone that reports in vain to the next leader, which was killed together with
     // the leader. This happens if the zone waits for the next host by name until the last summaries
@@ -550,7 +550,7 @@
     }
 }
 
-TEST_CASE("sums go on while the leader of a zone leaves", "[gateway]")
+TEST_CASE("summaries continue while the leader of a zone leaves", "[gateway]")
 {
     // Guards against hosts of a zone that admit every request when their leader is told to stop.
     // This happens if the report by which it announces to all hosts that it is leaving replaces its
@@ -566,7 +566,7 @@
     }
 }
 
-TEST_CASE("sums go on while the store turns the leader of a zone away", "[gateway]")
+TEST_CASE("summaries continue while the store rejects the leader of a zone", "[gateway]")
 {
     // Guards against hosts of a zone that admit every request when the store rejects their leader,
     // and again when it accepts it. This happens if the leader's announcement replaces its
--- a/tests/auto/gateway/tst_hostload.cpp
+++ b/tests/auto/gateway/tst_hostload.cpp
@@ -6,8 +6,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("the line about a host's load comes once a second and names those passed over most",
-          "[gateway]")
+TEST_CASE("a host's load is logged once a second with the customers turned away most", "[gateway]")
 {
     // Guards against a host that is overloaded for seconds while its log does not say whose streams
     // it turns away.
--- a/tests/auto/gateway/tst_storereplica.cpp
+++ b/tests/auto/gateway/tst_storereplica.cpp
@@ -209,7 +209,7 @@
 
 } // namespace
 
-TEST_CASE("a new configuration costs the store calls of its readers only", "[gateway]")
+TEST_CASE("only the hosts that read the store call it for a new configuration", "[gateway]")
 {
     // Keys are revoked three times in a second. Guards against every host reading the configuration
     // each time, which happens if hosts are only told that there is a newer one. With 195 hosts
@@ -228,8 +228,7 @@
     CHECK(zone.store.calls["/servers"] <= 3);
 }
 
-TEST_CASE("a host that the store turns away has a new configuration from its neighbours",
-          "[gateway]")
+TEST_CASE("a host that the store rejects gets a new configuration from its neighbours", "[gateway]")
 {
     // The store rejects a third of the hosts for nine seconds, and in that time keys are revoked.
     // Guards against hosts that answer 503 until the end of it although their neighbours know the
@@ -247,7 +246,7 @@
                         StoreTimes().fallbackReadAge - milliseconds(400)));
 }
 
-TEST_CASE("hosts that start beside others take everything from them", "[gateway]")
+TEST_CASE("hosts that start beside others copy their data", "[gateway]")
 {
     // Hosts are replaced in turn. Guards against starts that cost the store five calls each, which
     // is the largest part of the price of a fleet whose hosts restart 2,600 times a day.
@@ -267,7 +266,8 @@
     CHECK(zone.store.calls["/row"] <= 1);
 }
 
-TEST_CASE("hosts that all start at once find each other and leave the reading to one", "[gateway]")
+TEST_CASE("hosts that start together find each other, and only one goes on reading the store",
+          "[gateway]")
 {
     // A new fleet starts, and no host has a row yet. Guards against hosts that ask the store again
     // and again for a configuration that does not exist yet.
@@ -284,7 +284,7 @@
     CHECK(zone.runUntil([&] { return zone.allHoldVersion(7); }, seconds(2)));
 }
 
-TEST_CASE("who gets no copy asks the store", "[gateway]")
+TEST_CASE("a host that gets no copy asks the store", "[gateway]")
 {
     // All hosts lose power at once and their rows still exist, so the first host that is asked for
     // a copy has none. No host may wait for it.
@@ -294,7 +294,7 @@
     CHECK(zone.runUntil([&] { return zone.allHoldVersion(7); }, milliseconds(1500)));
 }
 
-TEST_CASE("a host hands out no servers that it keeps only since the store was away", "[gateway]")
+TEST_CASE("a host hands out no servers that it keeps only because of an outage", "[gateway]")
 {
     // The store is away, a server is gone when it returns, and the leader drops that server two
     // seconds later. Guards against callers that get answers from it again. This happens if another
@@ -335,7 +335,7 @@
 
 // Guards against callers without servers after an outage that only the previous reader of the store
 // noticed.
-TEST_CASE("who takes over from a host that lost the store keeps servers whose entries lapsed",
+TEST_CASE("a new leader keeps servers whose entries lapsed in an outage that only the old one saw",
           "[gateway]")
 {
     StoreFleet zone;
@@ -360,7 +360,7 @@
         [&] { return std::none_of(zone.hosts.begin(), zone.hosts.end(), hasServer); }, seconds(5)));
 }
 
-TEST_CASE("hosts of a small fleet that start together all hear of each other", "[gateway]")
+TEST_CASE("hosts of a small fleet that start together all find each other", "[gateway]")
 {
     // Guards against a customer whose callers use all hosts and who is served three times as much
     // as one whose callers stay with one host. This happens if only the leader of each zone reads
--- a/tests/auto/gateway/tst_storetimes.cpp
+++ b/tests/auto/gateway/tst_storetimes.cpp
@@ -8,7 +8,7 @@
 using namespace Gateway;
 using std::chrono::milliseconds;
 
-TEST_CASE("readers call the store half as often under bounds that are twice as long", "[gateway]")
+TEST_CASE("hosts call the store half as often under bounds that are twice as long", "[gateway]")
 {
     // Guards against intervals that are made for the shortest bounds of any deployment. With six
     // zones of a few hosts each, calls of the store then cost a seventh of the revenue; the hosts
@@ -19,7 +19,7 @@
     CHECK(times.serverInterval == milliseconds(1200));
 }
 
-TEST_CASE("whatever the bounds, a host that has to read itself keeps them", "[gateway]")
+TEST_CASE("a host that has to read the store itself keeps any bounds", "[gateway]")
 {
     rc::prop("any bounds", [] {
         const ChangeBounds bounds{milliseconds(*rc::gen::inRange(1500, 30000)),
