--- a/src/libs/gateway/fleetview.cpp
+++ b/src/libs/gateway/fleetview.cpp
@@ -153,7 +153,7 @@
     return now - latest.at < livenessTimeout;
 }
 
-bool FleetView::isHeardDirectly(const Base::HostId &host, Base::TimePoint now) const
+bool FleetView::hasRecentReport(const Base::HostId &host, Base::TimePoint now) const
 {
     const auto it = m_hosts.find(host);
     return it != m_hosts.end() && isAlive(it->second, now);
@@ -213,7 +213,7 @@
         if (maySelfLead && !isBeforeSelf(candidate))
             return std::nullopt;
         // This host is known only from a summary of the silent leader, and may be silent as well.
-        if (!isHeardDirectly(candidate.host, now) && silence >= successorTimeout) {
+        if (!hasRecentReport(candidate.host, now) && silence >= successorTimeout) {
             silence -= successorTimeout;
             continue;
         }
@@ -401,10 +401,10 @@
 
 bool FleetView::isCutOffFromZone(Base::TimePoint now) const
 {
-    const bool isAnyHeard = std::ranges::any_of(m_hosts, [&](const auto &it) {
+    const bool isAnyAlive = std::ranges::any_of(m_hosts, [&](const auto &it) {
         return it.second.report.self.zone == m_zone && isAlive(it.second, now);
     });
-    return !isAnyHeard && !receiversIn(m_zone).empty();
+    return !isAnyAlive && !receiversIn(m_zone).empty();
 }
 
 void FleetView::updateGatherPeriod(Base::TimePoint now)
--- a/src/libs/gateway/fleetview.h
+++ b/src/libs/gateway/fleetview.h
@@ -49,7 +49,9 @@
     /// Takes in a report of another host. Returns false if the report is this host's own or not
     /// newer than the last one of its sender.
     bool receive(const HostReport &report, Base::TimePoint now);
+    /// Forgets hosts, summaries and receivers that are too old.
     void advance(Base::TimePoint now);
+    /// Announces to all hosts for a while that this host is leaving and does not lead its zone.
     void setLeaving(Base::TimePoint now);
     /// Sets whether this host cannot rely on the store now (StoreReplica::isStoreLost()).
     void setStoreLost(bool isLost, Base::TimePoint now);
@@ -59,6 +61,7 @@
     bool isLarge() const { return m_receivers.size() >= largeFleetHosts; }
     /// Whether this host is the leader of its zone.
     bool isLeader(Base::TimePoint now) const;
+    /// Returns the reports to send now. Must be called once per report interval.
     std::vector<DueReport> dueReports(Base::TimePoint now) const;
     /// Adds what a report of its scope has beyond the sender's own data: members, echoes and loads
     /// of other hosts.
@@ -73,11 +76,13 @@
     /// Returns the other hosts that are alive, serve and are not leaving. If none of them serves,
     /// returns all that are alive and not leaving.
     std::vector<MemberState> servingMembers(Base::TimePoint now) const;
+    /// Returns the number of live hosts, including this one.
     std::size_t liveHosts(Base::TimePoint now) const;
     /// Returns the age of the newest report of another host; empty if there is none.
     std::optional<Base::Duration> newestReportAge(Base::TimePoint now) const;
     /// Returns the other hosts of this zone that are alive and not leaving.
     std::vector<MemberState> membersOfZone(Base::TimePoint now) const;
+    /// Returns the load of all other live hosts as of the last updateTotals().
     const Routing::OthersLoad &others() const { return m_others; }
     /// Recomputes others() from the loads of the hosts that are alive.
     void updateTotals(Base::TimePoint now);
@@ -104,15 +109,18 @@
         Routing::HostLoad load;
     };
 
+    /// Whether \a latest was received within the liveness timeout.
     bool isAlive(const ReceivedReport &latest, Base::TimePoint now) const;
     /// Whether a report of \a host itself was received within the liveness timeout.
-    bool isHeardDirectly(const Base::HostId &host, Base::TimePoint now) const;
+    bool hasRecentReport(const Base::HostId &host, Base::TimePoint now) const;
     /// Returns all other hosts that are alive, by their own reports or by those of a leader.
     std::map<Base::HostId, MemberState> liveMembers(Base::TimePoint now) const;
     /// Returns the leader of \a zone: the first host by name of those that reach the store, or of
     /// all hosts if none reaches it. Empty if this host is the leader, or no other host of the zone
     /// is known to be alive.
     std::optional<MemberState> leaderOf(const Base::ZoneId &zone, Base::TimePoint now) const;
+    /// Returns the peer addresses of the receivers in \a zone, and of those whose zone is not
+    /// known.
     std::vector<std::string> receiversIn(const Base::ZoneId &zone) const;
     std::vector<std::string> allReceivers() const;
     /// Whether other hosts of this zone may exist, but none of them has reported within the
@@ -137,14 +145,18 @@
     Base::ZoneId m_zone;
     bool m_isLeaving = false;
     bool m_isStoreLost = false;
+    /// Until then this host reports to all hosts that it does not lead its zone.
     Base::TimePoint m_announceUntil = Base::TimePoint::min();
     /// While this host is the leader, it sends no summaries before this time.
     Base::TimePoint m_gatherUntil = Base::TimePoint::max();
+    /// Time of the cached answer of isLeader(), and the answer.
     mutable Base::TimePoint m_leaderCheckedAt = Base::TimePoint::min();
     mutable bool m_isCachedLeader = true;
+    /// The last report of each other host, of any scope.
     std::map<Base::HostId, ReceivedReport> m_hosts;
     /// The last report on a zone or on the fleet from each host that has sent one.
     std::map<Base::HostId, ReceivedReport> m_summaries;
+    /// The hosts that reports are sent to, by peer address.
     std::map<std::string, Receiver> m_receivers;
     std::deque<SentReport> m_sentReports;
     /// Uses of prompt parts reported by hosts of this zone, to be relayed to the other leaders.
