--- a/src/libs/gateway/exchange.h
+++ b/src/libs/gateway/exchange.h
@@ -26,10 +26,14 @@
     /// Submits work for placement. Exchange::placed() or turnedAway() is called as a result, at
     /// once or later.
     virtual void submitWork(const std::string &service, Routing::Work work) = 0;
+    /// Withdraws work that has not been placed yet.
     virtual void withdrawWork(const std::string &service, Routing::WorkId id) = 0;
+    /// Notes that the first event of the work has arrived.
     virtual void workStarted(const std::string &service, Routing::WorkId id) = 0;
+    /// Notes that an attempt of placed work has ended with \a outcome.
     virtual void workFinished(const std::string &service, Routing::WorkId id,
                               Routing::AttemptOutcome outcome) = 0;
+    /// Returns the expected time from placement to the first event of the work.
     virtual Base::Duration expectedStart(const std::string &service, Routing::WorkId id) = 0;
     /// Whether this host has no processor time to spare.
     virtual bool isBusy() = 0;
@@ -43,6 +47,7 @@
     virtual const HeaderNames &names() = 0;
     virtual EventLog &log() = 0;
     virtual Base::TimePoint now() = 0;
+    /// Counts a failed attempt.
     virtual void attemptFailed(Routing::AttemptOutcome outcome) = 0;
     /// Notes that the server sent part of an answer, to any request.
     virtual void serverResponded(const Base::ServerId &server) = 0;
@@ -50,7 +55,9 @@
     virtual std::optional<Base::TimePoint> lastResponseFrom(const Base::ServerId &server) = 0;
     /// Notes that events of a stream were forwarded to their caller.
     virtual void eventsForwarded(std::size_t count) = 0;
+    /// Counts a request that ended.
     virtual void requestEnded(const EndedRequest &request) = 0;
+    /// Releases the exchange, which has given its final answer.
     virtual void exchangeFinished(Routing::WorkId id) = 0;
 };
 
@@ -84,7 +91,9 @@
     Exchange(ExchangePort &port, AcceptedRequest accepted, AnswerSink &sink);
 
     void start();
+    /// Sends the request to the server of \a placement.
     void placed(const Routing::Placement &placement);
+    /// Answers the request with a failure, since the dispatcher has rejected it.
     void turnedAway(const Routing::TurnedAway &why);
     /// Checks the request's time limits.
     void checkTime(Base::TimePoint now);
@@ -113,12 +122,19 @@
     /// Handles an attempt that ended without a usable answer: sends the request again, or gives the
     /// final answer.
     void handleFailedAttempt(Routing::AttemptOutcome outcome, bool maybeRan);
+    /// Whether the request may be sent again after an attempt with \a outcome. Takes a retry out of
+    /// the budget if the retry needs one.
     bool mayRetry(Routing::AttemptOutcome outcome, bool maybeRan);
     void handleWholeAnswer();
+    /// Whether the answer is complete and not one that only claims success or that it did not run.
     bool isAnswerTrusted() const;
     void forwardEvents(std::string_view data);
+    /// Whether the server of the current attempt has sent nothing for too long.
     bool isSilent(Base::TimePoint now) const;
+    /// Returns the silence after which an attempt is given up, if its server sends nothing to other
+    /// requests either.
     Base::Duration silenceTimeout() const;
+    /// Returns the earlier one of the class's timeout and the caller's deadline.
     Base::TimePoint effectiveDeadline() const;
     void fail(Failure failure);
     void finish(const char *outcome);
@@ -138,6 +154,7 @@
     ResponseHead m_head;
     std::string m_body;
     EventSplitter m_events;
+    /// Id of the last event that the caller has, if it resumes a stream.
     std::optional<std::uint64_t> m_resumeAfterId;
     Base::TimePoint m_acceptedAt;
     Base::TimePoint m_sentAt;
