--- a/src/libs/gateway/storereplica.cpp
+++ b/src/libs/gateway/storereplica.cpp
@@ -50,20 +50,21 @@
 } // namespace
 
 Base::Result<std::unique_ptr<StoreReplica>> StoreReplica::create(const GatewaySettings &settings,
-                                                                 const Parts &parts)
+                                                                 const Dependencies &dependencies)
 {
-    std::unique_ptr<StoreReplica> replica(new StoreReplica(settings, parts));
+    std::unique_ptr<StoreReplica> replica(new StoreReplica(settings, dependencies));
     BOOST_LEAF_CHECK(replica->listen(settings.peerAddress));
     return replica;
 }
 
-StoreReplica::StoreReplica(const GatewaySettings &settings, const Parts &parts)
-    : m_parts(parts)
+StoreReplica::StoreReplica(const GatewaySettings &settings, const Dependencies &dependencies)
+    : m_dependencies(dependencies)
     , m_self{settings.host, settings.zone, toString(settings.peerAddress)}
     , m_keyRevocation(settings.keyRevocation)
     , m_times(StoreTimes::within(boundsOf(settings)))
-    , m_store(parts.io, settings.storeAddress, parts.protocol, m_self, *this, parts.log)
-    , m_copyClient(parts.io, *this, parts.log)
+    , m_store(dependencies.io, settings.storeAddress, dependencies.protocol, m_self, *this,
+              dependencies.log)
+    , m_copyClient(dependencies.io, *this, dependencies.log)
     , m_handler(*this)
     , m_lease(leaseLength(settings.keyRevocation))
     , m_servers(returnGrace)
@@ -74,9 +75,9 @@
 
 Base::Result<void> StoreReplica::listen(const Settings::Address &peerAddress)
 {
-    BOOST_LEAF_ASSIGN(
-        m_peerListener,
-        HttpListener::create(m_parts.io, peerAddress, {m_handler, m_limits, m_parts.readBuffer}));
+    BOOST_LEAF_ASSIGN(m_peerListener,
+                      HttpListener::create(m_dependencies.io, peerAddress,
+                                           {m_handler, m_limits, m_dependencies.readBuffer}));
     return {};
 }
 
@@ -85,10 +86,10 @@
     // A host that was cut off from the store keeps servers for a while whose entries are missing.
     // If it led its zone in this time, hosts that were never cut off would send requests to servers
     // that have left.
-    m_parts.fleet.setStoreLost(isStoreLost(now), now);
+    m_dependencies.fleet.setStoreLost(isStoreLost(now), now);
     m_store.setDuty(readingDuty(now));
     m_store.setHeld(waitsForCopy(now));
-    m_store.setFindsHosts(!m_parts.fleet.isLarge());
+    m_store.setFindsHosts(!m_dependencies.fleet.isLarge());
     m_copyClient.advance(now);
     m_store.advance(now);
 }
@@ -116,12 +117,12 @@
 {
     if (isKnown() || m_hasCopyFailed)
         return false;
-    return !m_parts.fleet.isLeader(now) || now - m_startedAt < soleStartDelay;
+    return !m_dependencies.fleet.isLeader(now) || now - m_startedAt < soleStartDelay;
 }
 
 StoreClient::Duty StoreReplica::readingDuty(Base::TimePoint now) const
 {
-    if (m_parts.fleet.isLeader(now))
+    if (m_dependencies.fleet.isLeader(now))
         return StoreClient::Duty::ForZone;
     // No host has a configuration yet, and the leader is the first to learn of one.
     if (m_store.isConfigurationMissing())
@@ -167,16 +168,16 @@
     const bool isNewEnough = store.serversVersion >= m_store.serversVersion();
     if (m_servers.isKnown() && isNewEnough) {
         const Routing::ServerChanges changes = m_servers.applyChanges(store.serverChanges, now);
-        m_parts.listener.serversChanged(changes, false);
+        m_dependencies.listener.serversChanged(changes, false);
     }
     const bool hasOtherServers = store.serversFingerprint != m_servers.fingerprint();
     // A leader's own reading is the newest one.
-    if (hasOtherServers && isNewEnough && !m_parts.fleet.isLeader(now))
+    if (hasOtherServers && isNewEnough && !m_dependencies.fleet.isLeader(now))
         m_copyClient.want(Knowledge::Servers, report.self.peerAddress);
     // The other host received this host's report before it sent its own. So it asked the store no
     // earlier than the proof's age before this host's report was sent, however long the reports
     // were under way.
-    const std::optional<Base::TimePoint> askedAt = m_parts.fleet.echoedSendTime(report);
+    const std::optional<Base::TimePoint> askedAt = m_dependencies.fleet.echoedSendTime(report);
     if (!askedAt)
         return;
     const Base::TimePoint provedAt = *askedAt - *store.proofAge;
@@ -191,12 +192,12 @@
 {
     m_table = std::move(table);
     m_tableText = text;
-    m_parts.log.write(LogLine("configuration.taken")
-                          .add("version", m_table->version())
-                          .add("routes", m_table->configuration().routes.size())
-                          .add("customers", m_table->configuration().customers.size()),
-                      bootTimeNow());
-    m_parts.listener.configurationApplied();
+    m_dependencies.log.write(LogLine("configuration.taken")
+                                 .add("version", m_table->version())
+                                 .add("routes", m_table->configuration().routes.size())
+                                 .add("customers", m_table->configuration().customers.size()),
+                             bootTimeNow());
+    m_dependencies.listener.configurationApplied();
 }
 
 void StoreReplica::configurationRead(std::shared_ptr<const Routing::RouteTable> table,
@@ -216,8 +217,8 @@
 {
     const Routing::ServerChanges changes = m_servers.apply(servers, bootTimeNow());
     m_serversProvedAt = askedAt;
-    m_parts.listener.serversChanged(changes, true);
-    m_parts.listener.serversRead();
+    m_dependencies.listener.serversChanged(changes, true);
+    m_dependencies.listener.serversRead();
 }
 
 void StoreReplica::storeFailed()
@@ -227,17 +228,17 @@
 
 void StoreReplica::unreadableChanged(const std::set<std::string> &entries)
 {
-    m_parts.listener.unreadableChanged(entries);
+    m_dependencies.listener.unreadableChanged(entries);
 }
 
 void StoreReplica::storeAnswered(const char *call, bool isGood)
 {
-    m_parts.listener.storeAnswered(call, isGood);
+    m_dependencies.listener.storeAnswered(call, isGood);
 }
 
 void StoreReplica::hostsRead(const std::vector<HostRow> &hosts)
 {
-    m_parts.fleet.addHostRows(hosts, bootTimeNow());
+    m_dependencies.fleet.addHostRows(hosts, bootTimeNow());
     if (isKnown() || std::exchange(m_hasReadHosts, true))
         return;
     // Hosts that start together find no other host, and no host has a copy yet. Reports will show
@@ -254,12 +255,12 @@
     std::vector<HostRow> rows{m_self};
     // In a small fleet every host must find every other one. If only leaders had rows, the other
     // hosts of different zones would never count each other's load.
-    if (!m_parts.fleet.isLarge())
+    if (!m_dependencies.fleet.isLarge())
         return rows;
     const Base::TimePoint now = bootTimeNow();
-    if (!m_parts.fleet.isLeader(now))
+    if (!m_dependencies.fleet.isLeader(now))
         return {};
-    for (const MemberState &it : m_parts.fleet.membersOfZone(now))
+    for (const MemberState &it : m_dependencies.fleet.membersOfZone(now))
         rows.push_back({it.host, it.zone, it.peerAddress});
     return rows;
 }
@@ -268,7 +269,7 @@
 {
     boost::leaf::try_handle_all(
         [&]() -> Base::Result<void> {
-            BOOST_LEAF_AUTO(reading, m_parts.protocol.configuration({200, copy.text}));
+            BOOST_LEAF_AUTO(reading, m_dependencies.protocol.configuration({200, copy.text}));
             const std::uint64_t copied = reading.configuration ? reading.configuration->version : 0;
             if (copied > version()) {
                 m_store.configurationCopied(copied);
@@ -281,8 +282,8 @@
             return {};
         },
         [&] {
-            m_parts.log.write(LogLine("copy.unreadable").add("what", "configuration"),
-                              bootTimeNow());
+            m_dependencies.log.write(LogLine("copy.unreadable").add("what", "configuration"),
+                                     bootTimeNow());
             copyFailed(Knowledge::Configuration);
         });
 }
@@ -309,17 +310,17 @@
     const Base::TimePoint now = bootTimeNow();
     m_store.serversCopied(store.serversVersion);
     if (m_servers.isKnown()) {
-        m_parts.listener.serversChanged(
+        m_dependencies.listener.serversChanged(
             m_servers.applyChanges(changesToReach(store.serverChanges), now), false);
     } else {
         std::vector<Routing::RegisteredServer> servers;
         for (const Routing::ServerChange &it : store.serverChanges)
             servers.push_back(it.server);
-        m_parts.listener.serversChanged(m_servers.apply(servers, now), false);
+        m_dependencies.listener.serversChanged(m_servers.apply(servers, now), false);
     }
     if (store.serversFingerprint == m_servers.fingerprint())
         m_serversProvedAt = std::max(m_serversProvedAt, askedAt - *store.proofAge);
-    m_parts.listener.serversRead();
+    m_dependencies.listener.serversRead();
 }
 
 void StoreReplica::copyFailed(Knowledge what)
--- a/src/libs/gateway/storereplica.h
+++ b/src/libs/gateway/storereplica.h
@@ -34,7 +34,9 @@
     /// The slots and warm-up times of servers may have changed. No server came or went by this
     /// call.
     virtual void serversRead() = 0;
+    /// The set of server entries that cannot be read has changed.
     virtual void unreadableChanged(const std::set<std::string> &entries) = 0;
+    /// A call of the store has ended; \a isGood unless it failed.
     virtual void storeAnswered(const char *call, bool isGood) = 0;
 };
 
@@ -52,7 +54,7 @@
 class StoreReplica final : public StoreListener, public KnowledgeListener, public KnowledgeSource
 {
 public:
-    struct Parts
+    struct Dependencies
     {
         boost::asio::io_context &io;
         const StoreProtocol &protocol;
@@ -65,7 +67,7 @@
     /// Creates a replica that listens on the peer address. Fails with CannotListen. The parts must
     /// outlive the replica.
     static Base::Result<std::unique_ptr<StoreReplica>> create(const GatewaySettings &settings,
-                                                              const Parts &parts);
+                                                              const Dependencies &dependencies);
 
     /// Does the work that is due. Must be called every few tens of milliseconds.
     void advance(Base::TimePoint now);
@@ -77,9 +79,11 @@
     void leave();
 
     const std::shared_ptr<const Routing::RouteTable> &table() const { return m_table; }
+    /// Version of the configuration in force; 0 if there is none.
     std::uint64_t version() const { return m_table ? m_table->version() : 0; }
     const Routing::ServerSet &servers() const { return m_servers; }
     const Routing::ConfigurationLease &lease() const { return m_lease; }
+    /// Whether both a configuration and the backend servers are known.
     bool isKnown() const { return m_table && m_servers.isKnown(); }
     /// Whether the store does not take this host's calls, or has come back so recently that entries
     /// may still be missing. Another host should then read the store for the zone.
@@ -109,8 +113,9 @@
     std::optional<HostReport> serversCopy() const override;
 
 private:
-    StoreReplica(const GatewaySettings &settings, const Parts &parts);
+    StoreReplica(const GatewaySettings &settings, const Dependencies &dependencies);
     Base::Result<void> listen(const Settings::Address &peerAddress);
+    /// Returns for whom this host has to read the store now.
     StoreClient::Duty readingDuty(Base::TimePoint now) const;
     /// Whether a host that has just started waits for a copy instead of asking the store.
     bool waitsForCopy(Base::TimePoint now) const;
@@ -119,7 +124,7 @@
     std::vector<Routing::ServerChange>
     changesToReach(const std::vector<Routing::ServerChange> &copy) const;
 
-    Parts m_parts;
+    Dependencies m_dependencies;
     HostRow m_self;
     Base::Milliseconds m_keyRevocation;
     StoreTimes m_times;
