--- a/src/libs/gateway/exchange.h
+++ b/src/libs/gateway/exchange.h
@@ -57,7 +57,7 @@
     virtual void eventsForwarded(std::size_t count) = 0;
     /// Counts a request that ended.
     virtual void requestEnded(const EndedRequest &request) = 0;
-    /// Releases the exchange, which has given its final answer.
+    /// Releases an exchange that has ended.
     virtual void exchangeFinished(Routing::WorkId id) = 0;
 };
 
@@ -126,15 +126,16 @@
     /// the budget if the retry needs one.
     bool mayRetry(Routing::AttemptOutcome outcome, bool maybeRan);
     void handleWholeAnswer();
-    /// Whether the answer is complete and not one that only claims success or that it did not run.
+    /// Whether the answer may be passed on. An answer that claims without proof that the request
+    /// did not run, or a success without the server's signature, may not.
     bool isAnswerTrusted() const;
     void forwardEvents(std::string_view data);
-    /// Whether the server of the current attempt has sent nothing for too long.
+    /// Whether the request may be sent elsewhere because its server has been silent for too long.
     bool isSilent(Base::TimePoint now) const;
     /// Returns the silence after which an attempt is given up, if its server sends nothing to other
     /// requests either.
     Base::Duration silenceTimeout() const;
-    /// Returns the earlier one of the class's timeout and the caller's deadline.
+    /// Returns the end of the class's timeout or the caller's deadline, whichever is earlier.
     Base::TimePoint effectiveDeadline() const;
     void fail(Failure failure);
     void finish(const char *outcome);
--- a/src/libs/gateway/fleetview.h
+++ b/src/libs/gateway/fleetview.h
@@ -51,7 +51,8 @@
     bool receive(const HostReport &report, Base::TimePoint now);
     /// Forgets hosts, summaries and receivers that are too old.
     void advance(Base::TimePoint now);
-    /// Announces to all hosts for a while that this host is leaving and does not lead its zone.
+    /// This host is leaving: it does not lead its zone any more, and reports to all hosts for a
+    /// while.
     void setLeaving(Base::TimePoint now);
     /// Sets whether this host cannot rely on the store now (StoreReplica::isStoreLost()).
     void setStoreLost(bool isLost, Base::TimePoint now);
@@ -61,7 +62,7 @@
     bool isLarge() const { return m_receivers.size() >= largeFleetHosts; }
     /// Whether this host is the leader of its zone.
     bool isLeader(Base::TimePoint now) const;
-    /// Returns the reports to send now. Must be called once per report interval.
+    /// Returns the reports that this host sends in one report interval.
     std::vector<DueReport> dueReports(Base::TimePoint now) const;
     /// Adds what a report of its scope has beyond the sender's own data: members, echoes and loads
     /// of other hosts.
@@ -145,7 +146,7 @@
     Base::ZoneId m_zone;
     bool m_isLeaving = false;
     bool m_isStoreLost = false;
-    /// Until then this host reports to all hosts that it does not lead its zone.
+    /// Until then this host reports to all hosts if it does not lead its zone.
     Base::TimePoint m_announceUntil = Base::TimePoint::min();
     /// While this host is the leader, it sends no summaries before this time.
     Base::TimePoint m_gatherUntil = Base::TimePoint::max();
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -36,6 +36,7 @@
     virtual ~EntryDirectory() = default;
     /// Returns the addresses "IP:PORT" of the hosts that callers may use now.
     virtual std::vector<std::string> entryAddresses() const = 0;
+    /// Returns how long callers may use an entry list.
     virtual std::chrono::seconds entryListMaxAge() const = 0;
     /// Whether this host takes requests: it knows its configuration and its backend servers, and is
     /// not leaving.
@@ -124,12 +125,15 @@
 
     /// Logs this host's load, once a second.
     void logLoad(Base::TimePoint now);
+    /// Logs a request that was rejected before an exchange was created for it.
     void logRefusal(const AcceptedRequest &accepted, const Failure &failure);
+    /// Passes decisions on to their exchanges, one after the other.
     void apply(const Routing::Decisions &decisions);
 
     Base::Result<void> listenForMetrics();
     GatewayState state() const;
     void beginShutdown();
+    /// Stops the event loop when the shutdown is over.
     void checkShutdown(Base::TimePoint now);
 
     GatewaySettings m_settings;
--- a/src/libs/gateway/hostload.h
+++ b/src/libs/gateway/hostload.h
@@ -32,6 +32,7 @@
     void addRequest() { ++m_requests; }
     void addRefusal() { ++m_refusals; }
     void addEvents(std::size_t count) { m_events += count; }
+    /// Counts a stream of \a customer that this host turned away because it is overloaded.
     void addShedStream(const Base::CustomerId &customer);
     /// Adds the time from \a since to \a now, in which there was work.
     void addBusy(Base::TimePoint since, Base::TimePoint now);
@@ -39,6 +40,7 @@
     Base::Duration busyTime() const { return m_busy; }
     /// Returns a line at most once a second, and only if something was counted; empty otherwise.
     std::optional<LogLine> line(const LoadSample &sample, Base::TimePoint now);
+    /// Whether the last line is at least a second old.
     bool isDue(Base::TimePoint now) const;
 
 private:
