--- a/src/libs/gateway/exchange.cpp
+++ b/src/libs/gateway/exchange.cpp
@@ -25,7 +25,8 @@
 constexpr Base::Duration minSilenceTimeout = milliseconds(250);
 constexpr Base::Duration minStreamSilenceTimeout = milliseconds(1100);
 /// A started stream is resumed at another server after a pause of this many times the longest pause
-/// that is on time. Callers leave after eight times, so that the other server has time to answer.
+/// that is on time. Callers leave after eight times; giving up before half of that leaves time for
+/// the other server.
 constexpr int pauseToleranceFactor = 3;
 /// A server that has sent anything to this host within this time is alive.
 constexpr Base::Duration serverQuietTime = milliseconds(150);
--- a/src/libs/gateway/fleetview.cpp
+++ b/src/libs/gateway/fleetview.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Reports are sent five times a second. Several lost in a row are unlikely to be chance, and a
-/// host that is down must leave the entry list before many callers try it.
+/// Reports are sent five times a second. Three or more in a row are not lost by chance, and a host
+/// that is down must leave the entry list before many callers try it.
 constexpr Base::Duration livenessTimeout = std::chrono::milliseconds(1400);
 /// A host that is down or cut off is still sent reports for this long after it was last heard from
 /// or listed in the store.
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -428,8 +428,8 @@
 void Gateway::apply(const Routing::Decisions &decisions)
 {
     m_decisions.push_back(decisions);
-    // A placement may lead to another decision at once. The queue prevents unbounded recursion, and
-    // changes to containers that a caller of this function iterates over.
+    // A placement may lead to another decision at once. The queue prevents unbounded recursion and
+    // changes of containers that a caller of this function iterates over.
     if (std::exchange(m_isApplying, true))
         return;
     while (!m_decisions.empty()) {
