--- a/src/libs/gateway/answersink.h
+++ b/src/libs/gateway/answersink.h
@@ -20,7 +20,7 @@
     virtual void sendEvents(std::string_view data) = 0;
     virtual void endStream() = 0;
     /// Closes the connection without ending the answer, so that the answer cannot look complete.
-    virtual void breakOff() = 0;
+    virtual void abortAnswer() = 0;
     /// Makes the answer the last one of its connection. Must be called before the answer is sent.
     virtual void closeAfterAnswer() = 0;
     /// Whether the caller has closed its connection, also if that has not been read yet. Costs a
@@ -46,7 +46,7 @@
     /// The caller has closed its connection. The sink must not be used any more.
     virtual void callerGone() = 0;
     /// The caller has read the output that was held back.
-    virtual void callerReady() = 0;
+    virtual void outputDrained() = 0;
 };
 
 /// Handles the requests of a listener. handle() returns null if the request was answered at once.
--- a/src/libs/gateway/fleetview.h
+++ b/src/libs/gateway/fleetview.h
@@ -84,7 +84,7 @@
     /// Returns the other hosts of this zone that are alive and not leaving.
     std::vector<MemberState> membersOfZone(Base::TimePoint now) const;
     /// Returns the load of all other live hosts as of the last updateTotals().
-    const Routing::OthersLoad &others() const { return m_others; }
+    const Routing::PeerLoad &others() const { return m_others; }
     /// Recomputes others() from the loads of the hosts that are alive.
     void updateTotals(Base::TimePoint now);
     /// Adds the uses of prompt parts that a leader relays with a report of this scope. Each use is
@@ -164,7 +164,7 @@
     std::vector<Routing::PartUse> m_usesForLeaders;
     /// Uses of prompt parts reported by any host, to be relayed to the hosts of this zone.
     std::vector<Routing::PartUse> m_usesForZone;
-    Routing::OthersLoad m_others;
+    Routing::PeerLoad m_others;
 };
 
 } // namespace Gateway
--- a/src/libs/gateway/services.cpp
+++ b/src/libs/gateway/services.cpp
@@ -13,7 +13,7 @@
 
 /// Returns the time to transfer the memory of one token between servers, in milliseconds. Empty if
 /// the configuration does not state it.
-std::optional<double> moveMsPerToken(const Routing::EngineTraits &engine)
+std::optional<double> transferMsPerToken(const Routing::EngineTraits &engine)
 {
     if (engine.bytesPerToken == 0 || engine.linkMbps == 0)
         return std::nullopt;
@@ -40,7 +40,7 @@
         return it->second;
     const auto [added, isNew] = m_services.emplace(
         name, Service{Routing::Dispatcher(traitsOf(name), m_zone), Routing::RetryShare(m_retries)});
-    added->second.dispatcher.setOthers(m_fleet->others());
+    added->second.dispatcher.setPeerLoad(m_fleet->others());
     serversRead();
     return added->second;
 }
@@ -62,7 +62,7 @@
         return traits;
     traits.isEngine = true;
     traits.memoryTokens = known->engine->memoryTokens;
-    traits.moveMsPerToken = moveMsPerToken(*known->engine);
+    traits.transferMsPerToken = transferMsPerToken(*known->engine);
     std::size_t servers = 0;
     for (const auto &[id, server] : m_replica->servers().servers())
         servers += server.service == name ? 1 : 0;
@@ -103,16 +103,16 @@
         it.retries.setAllowance(allowance);
 }
 
-void Services::othersChanged()
+void Services::peerLoadChanged()
 {
     for (auto &[name, it] : m_services)
-        it.dispatcher.othersChanged();
+        it.dispatcher.peerLoadChanged();
 }
 
-void Services::learnPartUses(const std::vector<Routing::PartUse> &uses, Base::TimePoint now)
+void Services::applyPartUses(const std::vector<Routing::PartUse> &uses, Base::TimePoint now)
 {
     for (auto &[name, it] : m_services)
-        it.dispatcher.learnPartUses(uses, now);
+        it.dispatcher.applyPartUses(uses, now);
 }
 
 void Services::report(Routing::HostLoad &load, Base::TimePoint now)
--- a/src/libs/gateway/services.h
+++ b/src/libs/gateway/services.h
@@ -42,8 +42,8 @@
     /// came or went.
     void serversRead();
     void retryAllowanceChanged(const Routing::RetryAllowance &allowance);
-    void othersChanged();
-    void learnPartUses(const std::vector<Routing::PartUse> &uses, Base::TimePoint now);
+    void peerLoadChanged();
+    void applyPartUses(const std::vector<Routing::PartUse> &uses, Base::TimePoint now);
 
     /// Fills in the share level and the unmet level of \a sample.
     void fillLevels(LoadSample &sample, Base::TimePoint now);
--- a/src/libs/gateway/storetimes.cpp
+++ b/src/libs/gateway/storeintervals.cpp
@@ -1,4 +1,4 @@
-#include "gateway/storetimes.h"
+#include "gateway/storeintervals.h"
 
 #include <algorithm>
 
@@ -25,9 +25,9 @@
 
 } // namespace
 
-StoreTimes StoreTimes::within(const ChangeBounds &bounds)
+StoreIntervals StoreIntervals::within(const ChangeBounds &bounds)
 {
-    const StoreTimes defaults;
+    const StoreIntervals defaults;
     const double changeBoundMs = milliseconds(std::min(bounds.configuration, bounds.leaving));
     // A host that has to read the store itself must have its proof before the lease ends, even if
     // its first try is slow.
--- a/src/libs/gateway/storetimes.h
+++ b/src/libs/gateway/storeintervals.h
@@ -29,7 +29,7 @@
 /// Each call of the store has a price, and the hosts that read it call all the time: 3.7 times a
 /// second for each availability zone under bounds of two seconds, and half as often under bounds of
 /// four. The intervals are therefore as long as the bounds allow.
-struct StoreTimes
+struct StoreIntervals
 {
     /// Time for which the store holds a watch call. The configuration is proved current once in
     /// this time.
@@ -44,7 +44,7 @@
 
     /// Returns intervals with which a host that has to read the store itself still keeps all of \a
     /// bounds, provided that each bound is at least 1.5 seconds.
-    static StoreTimes within(const ChangeBounds &bounds);
+    static StoreIntervals within(const ChangeBounds &bounds);
 };
 
 } // namespace Gateway
--- a/src/libs/gateway/storereplica.cpp
+++ b/src/libs/gateway/storereplica.cpp
@@ -61,7 +61,7 @@
     : m_dependencies(dependencies)
     , m_self{settings.host, settings.zone, toString(settings.peerAddress)}
     , m_keyRevocation(settings.keyRevocation)
-    , m_times(StoreTimes::within(boundsOf(settings)))
+    , m_times(StoreIntervals::within(boundsOf(settings)))
     , m_store(dependencies.io, settings.storeAddress, dependencies.protocol, m_self, *this,
               dependencies.log)
     , m_copyClient(dependencies.io, *this, dependencies.log)
@@ -70,7 +70,7 @@
     , m_servers(returnGrace)
     , m_startedAt(bootTimeNow())
 {
-    m_store.setTimes(m_times);
+    m_store.setIntervals(m_times);
 }
 
 Base::Result<void> StoreReplica::listen(const Settings::Address &peerAddress)
@@ -87,9 +87,9 @@
     // If it led its zone in this time, hosts that were never cut off would send requests to servers
     // that have left.
     m_dependencies.fleet.setStoreLost(isStoreLost(now), now);
-    m_store.setDuty(readingDuty(now));
-    m_store.setHeld(waitsForCopy(now));
-    m_store.setFindsHosts(!m_dependencies.fleet.isLarge());
+    m_store.setReaderRole(readingDuty(now));
+    m_store.setReadsDeferred(waitsForCopy(now));
+    m_store.setHostDiscoveryEnabled(!m_dependencies.fleet.isLarge());
     m_copyClient.advance(now);
     m_store.advance(now);
 }
@@ -98,8 +98,8 @@
 {
     m_keyRevocation = settings.keyRevocation;
     m_lease.setLength(leaseLength(settings.keyRevocation));
-    m_times = StoreTimes::within(boundsOf(settings));
-    m_store.setTimes(m_times);
+    m_times = StoreIntervals::within(boundsOf(settings));
+    m_store.setIntervals(m_times);
 }
 
 void StoreReplica::leave()
@@ -110,7 +110,7 @@
 
 bool StoreReplica::isStoreLost(Base::TimePoint now) const
 {
-    return m_store.isLost() || !m_servers.isSettled(now);
+    return m_store.isLost() || !m_servers.isAuthoritative(now);
 }
 
 bool StoreReplica::waitsForCopy(Base::TimePoint now) const
@@ -120,18 +120,18 @@
     return !m_dependencies.fleet.isLeader(now) || now - m_startedAt < soleStartDelay;
 }
 
-StoreClient::Duty StoreReplica::readingDuty(Base::TimePoint now) const
+StoreClient::ReaderRole StoreReplica::readingDuty(Base::TimePoint now) const
 {
     if (m_dependencies.fleet.isLeader(now))
-        return StoreClient::Duty::ForZone;
+        return StoreClient::ReaderRole::ForZone;
     // No host has a configuration yet, and the leader is the first to learn of one.
     if (m_store.isConfigurationMissing())
-        return StoreClient::Duty::None;
+        return StoreClient::ReaderRole::None;
     const std::optional<Base::Duration> age = m_lease.age(now);
     const bool needsOwnReading = !m_table || !m_servers.isKnown() || !age
                                  || *age >= m_times.fallbackReadAge
                                  || now - m_serversProvedAt >= m_times.fallbackReadAge;
-    return needsOwnReading ? StoreClient::Duty::Self : StoreClient::Duty::None;
+    return needsOwnReading ? StoreClient::ReaderRole::Self : StoreClient::ReaderRole::None;
 }
 
 StoreState StoreReplica::storeState(Base::TimePoint now) const
@@ -139,7 +139,7 @@
     StoreState store;
     store.configurationVersion = version();
     store.serversFingerprint = m_servers.fingerprint();
-    if (const std::optional<Base::TimePoint> lostAt = m_servers.storeAwayAt())
+    if (const std::optional<Base::TimePoint> lostAt = m_servers.storeUnreachableSince())
         store.outageAge = std::chrono::floor<Base::Milliseconds>(now - *lostAt);
     if (!m_ownProofAt || !m_servers.isKnown())
         return store;
@@ -163,7 +163,7 @@
         return;
     const bool isOlder = version() < store.configurationVersion;
     if (isOlder)
-        m_copyClient.want(Knowledge::Configuration, report.self.peerAddress);
+        m_copyClient.requestCopy(StoreData::Configuration, report.self.peerAddress);
     // A report on an older reading than this host's own could bring back a server that is gone.
     const bool isNewEnough = store.serversVersion >= m_store.serversVersion();
     if (m_servers.isKnown() && isNewEnough) {
@@ -173,7 +173,7 @@
     const bool hasOtherServers = store.serversFingerprint != m_servers.fingerprint();
     // A leader's own reading is the newest one.
     if (hasOtherServers && isNewEnough && !m_dependencies.fleet.isLeader(now))
-        m_copyClient.want(Knowledge::Servers, report.self.peerAddress);
+        m_copyClient.requestCopy(StoreData::Servers, report.self.peerAddress);
     // The other host received this host's report before it sent its own. So it asked the store no
     // earlier than the proof's age before this host's report was sent, however long the reports
     // were under way.
@@ -226,14 +226,14 @@
     m_servers.storeFailed(bootTimeNow());
 }
 
-void StoreReplica::unreadableChanged(const std::set<std::string> &entries)
+void StoreReplica::unreadableEntriesChanged(const std::set<std::string> &entries)
 {
-    m_dependencies.listener.unreadableChanged(entries);
+    m_dependencies.listener.unreadableEntriesChanged(entries);
 }
 
-void StoreReplica::storeAnswered(const char *call, bool isGood)
+void StoreReplica::storeCallFinished(const char *call, bool isGood)
 {
-    m_dependencies.listener.storeAnswered(call, isGood);
+    m_dependencies.listener.storeCallFinished(call, isGood);
 }
 
 void StoreReplica::hostsRead(const std::vector<HostRow> &hosts)
@@ -246,11 +246,11 @@
     const HostRow *copySource = preferredCopySource(hosts, m_self);
     if (!copySource)
         return;
-    m_copyClient.want(Knowledge::Configuration, copySource->peerAddress);
-    m_copyClient.want(Knowledge::Servers, copySource->peerAddress);
+    m_copyClient.requestCopy(StoreData::Configuration, copySource->peerAddress);
+    m_copyClient.requestCopy(StoreData::Servers, copySource->peerAddress);
 }
 
-std::vector<HostRow> StoreReplica::rowsToKeep() const
+std::vector<HostRow> StoreReplica::rowsToRefresh() const
 {
     std::vector<HostRow> rows{m_self};
     // In a small fleet every host must find every other one. If only leaders had rows, the other
@@ -284,7 +284,7 @@
         [&] {
             m_dependencies.log.write(LogLine("copy.unreadable").add("what", "configuration"),
                                      bootTimeNow());
-            copyFailed(Knowledge::Configuration);
+            copyFailed(StoreData::Configuration);
         });
 }
 
@@ -323,10 +323,10 @@
     m_dependencies.listener.serversRead();
 }
 
-void StoreReplica::copyFailed(Knowledge what)
+void StoreReplica::copyFailed(StoreData what)
 {
     m_hasCopyFailed = true;
-    if (what == Knowledge::Configuration)
+    if (what == StoreData::Configuration)
         m_store.configurationChanged();
     else
         m_store.serversChanged();
@@ -346,7 +346,7 @@
     const Base::Duration age = now - m_serversProvedAt;
     // A list that was read within the grace period after an outage still contains servers that are
     // gone.
-    const bool isWhole = m_servers.isKnown() && m_servers.isSettled(m_serversProvedAt);
+    const bool isWhole = m_servers.isKnown() && m_servers.isAuthoritative(m_serversProvedAt);
     if (!isWhole || age >= m_times.fallbackReadAge || isStoreLost(now))
         return std::nullopt;
     HostReport report;
--- a/src/libs/gateway/storereplica.h
+++ b/src/libs/gateway/storereplica.h
@@ -4,10 +4,10 @@
 #include "gateway/fleetview.h"
 #include "gateway/gatewaysettings.h"
 #include "gateway/httplistener.h"
-#include "gateway/knowledgeclient.h"
-#include "gateway/knowledgehandler.h"
 #include "gateway/storeclient.h"
-#include "gateway/storetimes.h"
+#include "gateway/storecopyclient.h"
+#include "gateway/storecopyhandler.h"
+#include "gateway/storeintervals.h"
 #include "routing/configurationlease.h"
 #include "routing/serverset.h"
 
@@ -35,9 +35,9 @@
     /// call.
     virtual void serversRead() = 0;
     /// The set of server entries that cannot be read has changed.
-    virtual void unreadableChanged(const std::set<std::string> &entries) = 0;
+    virtual void unreadableEntriesChanged(const std::set<std::string> &entries) = 0;
     /// A call of the store has ended; \a isGood unless it failed.
-    virtual void storeAnswered(const char *call, bool isGood) = 0;
+    virtual void storeCallFinished(const char *call, bool isGood) = 0;
 };
 
 /// This host's replica of the store's data: the configuration with its lease, and the backend
@@ -51,7 +51,7 @@
 /// Neither a copy nor a proof ever replaces newer data. Configurations are compared by their
 /// versions, lists of servers by the store's version at their reading, and proofs by the time at
 /// which the question was sent whose answer is the proof. \sa Routing::ConfigurationLease
-class StoreReplica final : public StoreListener, public KnowledgeListener, public KnowledgeSource
+class StoreReplica final : public StoreListener, public StoreCopyListener, public StoreCopySource
 {
 public:
     struct Dependencies
@@ -100,14 +100,14 @@
     void serversRead(const std::vector<Routing::RegisteredServer> &servers,
                      Base::TimePoint askedAt) override;
     void storeFailed() override;
-    void unreadableChanged(const std::set<std::string> &entries) override;
-    void storeAnswered(const char *call, bool isGood) override;
+    void unreadableEntriesChanged(const std::set<std::string> &entries) override;
+    void storeCallFinished(const char *call, bool isGood) override;
     void hostsRead(const std::vector<HostRow> &hosts) override;
-    std::vector<HostRow> rowsToKeep() const override;
+    std::vector<HostRow> rowsToRefresh() const override;
 
     void configurationCopied(const ConfigurationCopy &copy, Base::TimePoint askedAt) override;
     void serversCopied(const HostReport &report, Base::TimePoint askedAt) override;
-    void copyFailed(Knowledge what) override;
+    void copyFailed(StoreData what) override;
 
     std::optional<ConfigurationCopy> configurationCopy() const override;
     std::optional<HostReport> serversCopy() const override;
@@ -116,7 +116,7 @@
     StoreReplica(const GatewaySettings &settings, const Dependencies &dependencies);
     Base::Result<void> listen(const Settings::Address &peerAddress);
     /// Returns for whom this host has to read the store now.
-    StoreClient::Duty readingDuty(Base::TimePoint now) const;
+    StoreClient::ReaderRole readingDuty(Base::TimePoint now) const;
     /// Whether a host that has just started waits for a copy instead of asking the store.
     bool waitsForCopy(Base::TimePoint now) const;
     void setTable(std::shared_ptr<const Routing::RouteTable> table, const std::string &text);
@@ -127,11 +127,11 @@
     Dependencies m_dependencies;
     HostRow m_self;
     Base::Milliseconds m_keyRevocation;
-    StoreTimes m_times;
+    StoreIntervals m_times;
     ConnectionLimits m_limits;
     StoreClient m_store;
-    KnowledgeClient m_copyClient;
-    KnowledgeHandler m_handler;
+    StoreCopyClient m_copyClient;
+    StoreCopyHandler m_handler;
     std::unique_ptr<HttpListener> m_peerListener;
     std::shared_ptr<const Routing::RouteTable> m_table;
     /// The store's answer that the table was read from.
--- a/tests/auto/gateway/plainstore.h
+++ b/tests/auto/gateway/fakestore.h
@@ -14,7 +14,7 @@
 
 /// A fake protocol whose answers consist of a version of the store only. The listed hosts are the
 /// given rows and those that were written; the listed servers are the given entries.
-class PlainProtocol final : public StoreProtocol
+class FakeStoreProtocol final : public StoreProtocol
 {
 public:
     HttpCall readConfiguration() const override { return {"GET", "/configuration", {}}; }
@@ -75,15 +75,15 @@
 
 /// A fake store on loopback. It answers each path with its version, or as told with 503 or not at
 /// all.
-class PlainStore final : public RequestHandler
+class FakeStore final : public RequestHandler
 {
 public:
     std::shared_ptr<ActiveRequest> handle(CallerRequest request, AnswerSink &sink) override
     {
         const std::string path(request.message.target());
         ++calls[path];
-        if (std::exchange(breaksOnce[path], false)) {
-            sink.breakOff();
+        if (std::exchange(dropsNextCall[path], false)) {
+            sink.abortAnswer();
             return nullptr;
         }
         ResponseHead head;
@@ -100,7 +100,7 @@
     std::map<std::string, int> calls;
     std::map<std::string, bool> refused;
     /// The next call of the path loses its connection without an answer.
-    std::map<std::string, bool> breaksOnce;
+    std::map<std::string, bool> dropsNextCall;
 };
 
 } // namespace Gateway
--- a/tests/auto/gateway/tst_fleetview.cpp
+++ b/tests/auto/gateway/tst_fleetview.cpp
@@ -243,7 +243,7 @@
         for (std::size_t i = 0; i < hosts.size(); ++i) {
             if (hosts.isDown(i) || i == starting)
                 continue;
-            const Routing::OthersLoad &others = hosts.view(i).others();
+            const Routing::PeerLoad &others = hosts.view(i).others();
             const auto asked = others.asked.find(Base::CustomerId("c"));
             const double sum =
                 SimulatedFleet::askedOfHost + (asked == others.asked.end() ? 0 : asked->second);
--- a/tests/auto/gateway/tst_storetimes.cpp
+++ b/tests/auto/gateway/tst_storeintervals.cpp
@@ -1,4 +1,4 @@
-#include "gateway/storetimes.h"
+#include "gateway/storeintervals.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -13,8 +13,8 @@
     // Guards against intervals that are made for the shortest bounds of any deployment. With six
     // zones of a few hosts each, calls of the store then cost a seventh of the revenue; the hosts
     // that read it made 1,066 of 1,454 calls in 48 seconds.
-    const StoreTimes times =
-        StoreTimes::within({milliseconds(4000), milliseconds(4000), milliseconds(5000)});
+    const StoreIntervals times =
+        StoreIntervals::within({milliseconds(4000), milliseconds(4000), milliseconds(5000)});
     CHECK(times.watchWait == milliseconds(1000));
     CHECK(times.serverInterval == milliseconds(1200));
 }
@@ -25,7 +25,7 @@
         const ChangeBounds bounds{milliseconds(*rc::gen::inRange(1500, 30000)),
                                   milliseconds(*rc::gen::inRange(1500, 30000)),
                                   milliseconds(*rc::gen::inRange(2700, 30000))};
-        const StoreTimes times = StoreTimes::within(bounds);
+        const StoreIntervals times = StoreIntervals::within(bounds);
         // In normal operation only the hosts that read for their zone ask the store.
         const auto longest = std::max(times.watchWait, times.serverInterval);
         RC_ASSERT(longest + 2 * reportInterval < times.fallbackReadAge);
--- a/tests/auto/gateway/tst_storereplica.cpp
+++ b/tests/auto/gateway/tst_storereplica.cpp
@@ -1,9 +1,9 @@
 #include "gateway/storereplica.h"
 
+#include "fakestore.h"
 #include "gateway/boottime.h"
 #include "gateway/eventlog.h"
-#include "gateway/storetimes.h"
-#include "plainstore.h"
+#include "gateway/storeintervals.h"
 
 #include <catch2/catch.hpp>
 
@@ -30,8 +30,8 @@
     void configurationApplied() override {}
     void serversChanged(const Routing::ServerChanges &, bool) override {}
     void serversRead() override {}
-    void unreadableChanged(const std::set<std::string> &) override {}
-    void storeAnswered(const char *, bool) override {}
+    void unreadableEntriesChanged(const std::set<std::string> &) override {}
+    void storeCallFinished(const char *, bool) override {}
 };
 
 Settings::Address freeAddress(boost::asio::io_context &io)
@@ -202,8 +202,8 @@
     Base::TimePoint m_nextReport{};
 
 public:
-    PlainProtocol protocol;
-    PlainStore store;
+    FakeStoreProtocol protocol;
+    FakeStore store;
     std::vector<std::unique_ptr<Host>> hosts;
 };
 
@@ -243,7 +243,7 @@
     zone.store.version = 8;
     // This is sooner than a host without a new proof would read the store itself.
     CHECK(zone.runUntil([&] { return zone.allHoldVersion(8); },
-                        StoreTimes().fallbackReadAge - milliseconds(400)));
+                        StoreIntervals().fallbackReadAge - milliseconds(400)));
 }
 
 TEST_CASE("hosts that start beside others copy their data", "[gateway]")
