--- a/src/libs/gateway/exchange.h
+++ b/src/libs/gateway/exchange.h
@@ -18,75 +18,86 @@
 class EventLog;
 struct EndedRequest;
 
-/// What an exchange asks of the gateway that it belongs to.
+/// The services of the gateway that an exchange uses.
 class ExchangePort
 {
 public:
     virtual ~ExchangePort() = default;
-    /// Leads to ExchangePort::placed() or turnedAway(), at once or later.
+    /// Submits work for placement. Exchange::placed() or turnedAway() is called as a result, at
+    /// once or later.
     virtual void submitWork(const std::string &service, Routing::Work work) = 0;
+    /// Withdraws work that has not been placed yet.
     virtual void withdrawWork(const std::string &service, Routing::WorkId id) = 0;
+    /// Notes that the first event of the work has arrived.
     virtual void workStarted(const std::string &service, Routing::WorkId id) = 0;
+    /// Notes that an attempt of placed work has ended with \a outcome.
     virtual void workFinished(const std::string &service, Routing::WorkId id,
                               Routing::AttemptOutcome outcome) = 0;
+    /// Returns the expected time from placement to the first event of the work.
     virtual Base::Duration expectedStart(const std::string &service, Routing::WorkId id) = 0;
-    /// This host has no processor time to spare.
+    /// Whether this host has no processor time to spare.
     virtual bool isBusy() = 0;
-    /// Takes a repeat out of this host's share of the retry budget.
-    virtual bool takeRepeat(const std::string &service) = 0;
-    /// Null if the server may not get work any more.
+    /// Takes one retry out of this host's share of the retry budget. Returns false if none is left.
+    virtual bool acquireRetry(const std::string &service) = 0;
+    /// Returns the server with this id; null if it may not get work any more.
     virtual const Routing::RegisteredServer *server(const Base::ServerId &id) = 0;
-    /// Whether keys may be used: the configuration is known to be current.
+    /// Whether API keys may be used, which requires a configuration that is known to be current.
     virtual bool mayUseKeys() = 0;
     virtual BackendPool &backends() = 0;
     virtual const HeaderNames &names() = 0;
     virtual EventLog &log() = 0;
     virtual Base::TimePoint now() = 0;
+    /// Counts a failed attempt.
     virtual void attemptFailed(Routing::AttemptOutcome outcome) = 0;
-    /// The server said something, to whichever request.
-    virtual void heardFrom(const Base::ServerId &server) = 0;
-    /// When that was last; empty if it never has.
-    virtual std::optional<Base::TimePoint> lastHeardFrom(const Base::ServerId &server) = 0;
-    /// Events of a stream went to their caller.
+    /// Notes that the server sent part of an answer, to any request.
+    virtual void serverResponded(const Base::ServerId &server) = 0;
+    /// Returns when the server last sent part of an answer; empty if it never has.
+    virtual std::optional<Base::TimePoint> lastResponseFrom(const Base::ServerId &server) = 0;
+    /// Notes that events of a stream were forwarded to their caller.
     virtual void eventsForwarded(std::size_t count) = 0;
+    /// Counts a request that ended.
     virtual void requestEnded(const EndedRequest &request) = 0;
-    virtual void exchangeOver(Routing::WorkId id) = 0;
+    /// Releases an exchange that has ended.
+    virtual void exchangeFinished(Routing::WorkId id) = 0;
 };
 
-/// A request that was found to be in order, with what decided so.
+/// A request that passed examination, with the data that the examination found.
 struct AcceptedRequest
 {
     Routing::WorkId id = 0;
     CallerRequest request;
     std::string requestId;
-    /// Kept, so that a newer configuration does not change the request half-way.
+    /// The configuration that the request was accepted under. It stays, so that a newer one does
+    /// not change the request half-way.
     std::shared_ptr<const Routing::RouteTable> table;
     const Routing::Route *route = nullptr;
     std::string service;
     Base::CustomerId customer;
     Routing::Work work;
-    /// The caller waits until then.
+    /// The caller stops waiting at this time.
     Base::TimePoint deadline;
 };
 
-/// One request from its acceptance to its final answer: attempts, repeats, the stream.
+/// One request from its acceptance to its final answer, with its attempts, retries and stream.
 ///
-/// The rule for repeats: a byte that was sent means that the attempt may have run, unless the
-/// server says that it did not. What may have run is sent again only if its class may be repeated,
+/// Once a byte of an attempt was sent, the attempt may have run, unless the server says that it did
+/// not. A request that may have run is only sent again if its class of work is repeatable, and
 /// within the class's number of attempts and the fleet's retry budget.
 class Exchange final : public ActiveRequest,
                        public BackendListener,
                        public std::enable_shared_from_this<Exchange>
 {
 public:
-    Exchange(ExchangePort &host, AcceptedRequest accepted, AnswerSink &sink);
+    Exchange(ExchangePort &port, AcceptedRequest accepted, AnswerSink &sink);
 
     void start();
+    /// Sends the request to the server of \a placement.
     void placed(const Routing::Placement &placement);
+    /// Answers the request with a failure, since the dispatcher has rejected it.
     void turnedAway(const Routing::TurnedAway &why);
-    /// Looks at the request's time limits.
+    /// Checks the request's time limits.
     void checkTime(Base::TimePoint now);
-    bool isOver() const { return m_state == State::Over; }
+    bool isFinished() const { return m_state == State::Finished; }
     bool isStream() const { return route().isStream(); }
     const Routing::Work &work() const { return m_accepted.work; }
 
@@ -99,28 +110,37 @@
     void attemptFailed(const AttemptFailure &failure) override;
 
 private:
-    enum class State { Waiting, Sent, Over };
+    enum class State { Waiting, Sent, Finished };
 
     const Routing::Route &route() const { return *m_accepted.route; }
     bool isStreaming() const { return m_isStreamStarted; }
     void submit();
     void sendTo(const Routing::RegisteredServer &server);
     ForwardedFields forwardedFields(const Routing::RegisteredServer &server) const;
-    void endAttempt(Routing::AttemptOutcome outcome);
-    void dropAttempt(Routing::AttemptOutcome outcome);
-    /// The attempt is over without an answer: sends again, or gives the final answer.
-    void afterFailure(Routing::AttemptOutcome outcome, bool maybeRan);
-    bool mayRepeat(Routing::AttemptOutcome outcome, bool maybeRan);
-    void takeAnswer();
-    bool isAnswerTrue() const;
-    void passEvents(std::string_view data);
+    void finishAttempt(Routing::AttemptOutcome outcome);
+    void cancelAttempt(Routing::AttemptOutcome outcome);
+    /// Handles an attempt that ended without a usable answer: sends the request again, or gives the
+    /// final answer.
+    void handleFailedAttempt(Routing::AttemptOutcome outcome, bool maybeRan);
+    /// Whether the request may be sent again after an attempt with \a outcome. Takes a retry out of
+    /// the budget if the retry needs one.
+    bool mayRetry(Routing::AttemptOutcome outcome, bool maybeRan);
+    void handleWholeAnswer();
+    /// Whether the answer may be passed on. An answer that claims without proof that the request
+    /// did not run, or a success without the server's signature, may not.
+    bool isAnswerTrusted() const;
+    void forwardEvents(std::string_view data);
+    /// Whether the request may be sent elsewhere because its server has been silent for too long.
     bool isSilent(Base::TimePoint now) const;
-    Base::Duration patience() const;
-    Base::TimePoint endBy() const;
+    /// Returns the silence after which an attempt is given up, if its server sends nothing to other
+    /// requests either.
+    Base::Duration silenceTimeout() const;
+    /// Returns the end of the class's timeout or the caller's deadline, whichever is earlier.
+    Base::TimePoint effectiveDeadline() const;
     void fail(Failure failure);
     void finish(const char *outcome);
     void logEnd(const char *outcome);
-    void logFailedAttempt(Routing::AttemptOutcome outcome, bool maybeRan, bool repeats);
+    void logFailedAttempt(Routing::AttemptOutcome outcome, bool maybeRan, bool retries);
 
     ExchangePort *m_port;
     AcceptedRequest m_accepted;
@@ -135,16 +155,17 @@
     ResponseHead m_head;
     std::string m_body;
     EventSplitter m_events;
-    std::optional<std::uint64_t> m_firstLastId;
+    /// Id of the last event that the caller has, if it resumes a stream.
+    std::optional<std::uint64_t> m_resumeAfterId;
     Base::TimePoint m_acceptedAt;
     Base::TimePoint m_sentAt;
-    Base::TimePoint m_heardAt;
+    Base::TimePoint m_lastDataAt;
     Base::TimePoint m_firstEventAt;
     Base::Duration m_expectedStart{};
     std::size_t m_eventCount = 0;
     unsigned m_status = 0;
-    /// Attempts that may have run, and attempts in all.
-    unsigned m_runs = 0;
+    /// Number of attempts that may have run, and number of all attempts.
+    unsigned m_possibleRuns = 0;
     unsigned m_sends = 0;
     bool m_mayHaveRun = false;
     bool m_isHeadSeen = false;
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -19,24 +19,28 @@
 
 using std::chrono::milliseconds;
 
-/// Granularity of all time limits. Each tick costs a wake-up, so not finer than callers notice.
+/// Granularity of all time limits. Each tick costs a wake-up, so it is no finer than callers
+/// notice.
 constexpr Base::Duration tickInterval = milliseconds(25);
 constexpr Base::Duration slowCheckInterval = milliseconds(500);
 constexpr std::size_t readBufferBytes = 65536;
-/// Part of a server's connections that the hosts together open: hosts come and go, and a server
-/// that is busy takes fewer.
-constexpr double connectionShare = 0.8;
-constexpr std::size_t leastConnections = 4;
-/// Within the grace: requests that come later than this after SIGTERM and may take long are sent
-/// elsewhere, and the process ends this long before it would be killed.
-constexpr double longWorkShare = 0.35;
-constexpr double endShare = 0.9;
-/// Another host may take it at once; this one is idle again only when open streams have ended.
-constexpr Base::Milliseconds behindRetryAfter{400};
-/// Callers keep an entry list for some seconds; a process that has nothing to do ends after them.
-constexpr double quietShare = 0.65;
-
-Base::Duration part(Base::Duration whole, double share)
+/// Share of a server's connections that all hosts together open. The rest is kept free because
+/// hosts come and go and a busy server accepts fewer connections.
+constexpr double openConnectionShare = 0.8;
+constexpr std::size_t minConnections = 4;
+/// Shares of the shutdown grace, counted from SIGTERM. From the first one on, requests that may
+/// take long are sent to other hosts. At the second one the process stops, before it would be
+/// killed.
+constexpr double longWorkCutoffShare = 0.35;
+constexpr double forcedStopShare = 0.9;
+/// Another host may take the request at once, while this host has spare processor time again only
+/// when some open streams have ended.
+constexpr Base::Milliseconds overloadRetryAfter{400};
+/// From this share of the shutdown grace on, a process without open requests stops. Before that,
+/// callers may still use an entry list that names this host.
+constexpr double idleStopShare = 0.65;
+
+Base::Duration fractionOf(Base::Duration whole, double share)
 {
     return std::chrono::duration_cast<Base::Duration>(whole * share);
 }
@@ -48,7 +52,7 @@
         std::chrono::duration_cast<std::chrono::microseconds>(since).count());
 }
 
-Base::Duration processorTimeOfProcess()
+Base::Duration processCpuTime()
 {
     timespec time{};
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &time);
@@ -56,8 +60,9 @@
                                                       + std::chrono::nanoseconds(time.tv_nsec));
 }
 
-/// Sequences of two starts of one host must not meet: an echo of an older one proves nothing.
-std::uint64_t randomStart()
+/// A random start keeps the sequences of two starts of one host apart, since an echo of an earlier
+/// start's report proves nothing.
+std::uint64_t randomSequenceStart()
 {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 28) + device();
@@ -86,7 +91,7 @@
     , m_fleet(settings.host, settings.zone)
     , m_backlog(settings.processor)
     , m_incarnation(newIncarnation())
-    , m_reportSequence(randomStart())
+    , m_reportSequence(randomSequenceStart())
 {}
 
 Base::Result<void> Gateway::listen()
@@ -107,8 +112,7 @@
                                                       {*this, m_limits, m_readBuffer}));
     for (const std::string &ip : m_settings.seeds) {
         if (ip != m_settings.peerAddress.ip)
-            m_fleet.learnAddress(toString(Settings::Address{ip, m_settings.peerAddress.port}),
-                                 now());
+            m_fleet.addAddress(toString(Settings::Address{ip, m_settings.peerAddress.port}), now());
     }
     return {};
 }
@@ -166,11 +170,12 @@
 {
     while (!m_io.stopped()) {
         m_io.run_one();
-        if (!m_looksForIdle)
+        if (!m_isIdleCheckDue)
             continue;
-        // Returns when nothing is ready. Looked for once a tick, since it is a system call more.
+        // poll() returns when nothing is ready. It is called only once a tick because it costs an
+        // extra system call.
         m_io.poll();
-        m_looksForIdle = false;
+        m_isIdleCheckDue = false;
         const Base::TimePoint time = now();
         m_backlog.recordIdle(time);
         m_load.addBusy(m_busySince, time);
@@ -200,11 +205,11 @@
             BOOST_LEAF_AUTO(settings, m_settingsWatcher.readIfChanged());
             if (!settings)
                 return {};
-            takeSettings(*settings);
+            applySettings(*settings);
             m_log.write(LogLine("process.reload").add("changed", true), now());
             return {};
         },
-        // The settings in force are better than none; the next change is tried again.
+        // The settings in force stay, and the next change of the file is tried again.
         [&](const Settings::SettingsFaults &it) {
             m_log.write(
                 LogLine("process.reload")
@@ -216,7 +221,7 @@
         [&] { m_log.write(LogLine("process.reload").add("changed", false), now()); });
 }
 
-void Gateway::takeSettings(const GatewaySettings &settings)
+void Gateway::applySettings(const GatewaySettings &settings)
 {
     m_settings.entryListMaxAge = settings.entryListMaxAge;
     m_settings.shutdownGrace = settings.shutdownGrace;
@@ -225,7 +230,7 @@
     m_settings.leavingBound = settings.leavingBound;
     m_settings.retries = settings.retries;
     m_settings.requestLinesPerSecond = settings.requestLinesPerSecond;
-    m_replica->takeSettings(m_settings);
+    m_replica->applySettings(m_settings);
     m_log.setRequestLineLimit(settings.requestLinesPerSecond);
     m_services->retryAllowanceChanged(settings.retries);
 }
@@ -245,11 +250,11 @@
 void Gateway::onTick()
 {
     const Base::TimePoint time = now();
-    // Not idle since the tick before.
-    if (m_looksForIdle)
+    // The process has not been idle since the last tick.
+    if (m_isIdleCheckDue)
         m_load.addBusy(m_busySince, time);
     m_busySince = time;
-    m_looksForIdle = true;
+    m_isIdleCheckDue = true;
     m_replica->advance(time);
     std::vector<std::shared_ptr<Exchange>> open;
     open.reserve(m_exchanges.size());
@@ -270,7 +275,7 @@
         if (m_metricsListener)
             m_metricsListener->checkTime(time);
         m_fleet.advance(time);
-        std::erase_if(m_heardFrom, [this](const auto &it) { return !server(it.first); });
+        std::erase_if(m_lastResponses, [this](const auto &it) { return !server(it.first); });
         reloadIfChanged();
     }
     const bool isLeaseHeld = m_replica->lease().isHeld(time);
@@ -289,16 +294,16 @@
 {
     if (!m_load.isDue(time))
         return;
-    LoadFigures figures;
-    figures.processorTime = processorTimeOfProcess();
-    figures.costFactor = m_backlog.costFactor();
-    m_services->showLevels(figures, time);
-    figures.reportAge = m_fleet.newestReportAge(time);
-    if (const auto line = m_load.line(figures, time))
+    LoadSample sample;
+    sample.processorTime = processCpuTime();
+    sample.costFactor = m_backlog.costFactor();
+    m_services->fillLevels(sample, time);
+    sample.reportAge = m_fleet.newestReportAge(time);
+    if (const auto line = m_load.line(sample, time))
         m_log.write(*line, time);
 }
 
-MemberState Gateway::memberOfThisHost(Base::TimePoint time) const
+MemberState Gateway::ownMemberState(Base::TimePoint time) const
 {
     MemberState self;
     self.host = m_settings.host;
@@ -309,38 +314,38 @@
     self.isServing = isReady() && m_replica->lease().isHeld(time);
     self.isStoreLost = m_replica->isStoreLost(time);
     self.capacity = m_settings.processor;
-    self.load = m_entries.load(time);
+    self.load = m_entryHosts.load(time);
     return self;
 }
 
-HostReport Gateway::reportOfThisHost(Base::TimePoint time) const
+HostReport Gateway::ownReport(Base::TimePoint time) const
 {
     HostReport report;
-    report.self = memberOfThisHost(time);
+    report.self = ownMemberState(time);
     report.incarnation = m_incarnation;
-    report.store = m_replica->knowledge(time);
+    report.store = m_replica->storeState(time);
     return report;
 }
 
 void Gateway::report(Base::TimePoint time)
 {
     m_nextReport = time + reportInterval;
-    m_entries.setCostFactor(m_backlog.costFactor());
-    HostReport own = reportOfThisHost(time);
+    m_entryHosts.setCostFactor(m_backlog.costFactor());
+    HostReport own = ownReport(time);
     m_services->report(own.load, time);
-    for (const ReportOrder &order : m_fleet.dueReports(time)) {
+    for (const DueReport &order : m_fleet.dueReports(time)) {
         HostReport report = own;
         report.scope = order.scope;
         report.sequence = ++m_reportSequence;
-        m_fleet.addOthers(report, time);
-        m_fleet.addPassedOn(report);
+        m_fleet.addOtherHosts(report, time);
+        m_fleet.addRelayedUses(report);
         if (order.scope == ReportScope::Host)
-            m_fleet.reported(report.sequence, own.load, time);
+            m_fleet.recordSentReport(report.sequence, own.load, time);
         m_reports->send(report, order.receivers);
     }
-    m_fleet.sumUp(time);
+    m_fleet.updateTotals(time);
     m_services->peerLoadChanged();
-    m_entries.update(m_fleet.servingMembers(time), memberOfThisHost(time), time);
+    m_entryHosts.update(m_fleet.servingMembers(time), ownMemberState(time), time);
     limitConnections();
 }
 
@@ -348,12 +353,12 @@
 {
     if (!m_replica->table())
         return;
-    std::size_t connections = leastConnections;
+    std::size_t connections = minConnections;
     for (const Routing::Service &it : m_replica->table()->configuration().services)
         connections = std::max<std::size_t>(connections, it.maxConnections);
-    const double share = m_entries.trafficShare(m_settings.host, bootTimeNow());
-    const double part = static_cast<double>(connections) * connectionShare * share;
-    m_pool.setConnectionLimit(std::max(leastConnections, static_cast<std::size_t>(part)));
+    const double share = m_entryHosts.trafficShare(m_settings.host, bootTimeNow());
+    const double limit = static_cast<double>(connections) * openConnectionShare * share;
+    m_pool.setConnectionLimit(std::max(minConnections, static_cast<std::size_t>(limit)));
 }
 
 void Gateway::reportReceived(const HostReport &report)
@@ -362,19 +367,20 @@
     if (!m_fleet.receive(report, time))
         return;
     m_services->applyPartUses(report.load.partUses, time);
-    m_replica->takeReport(report, time);
+    m_replica->applyReport(report, time);
 }
 
 std::shared_ptr<ActiveRequest> Gateway::handle(CallerRequest request, AnswerSink &sink)
 {
     AcceptedRequest accepted;
-    accepted.id = ++m_lastWork;
+    accepted.id = ++m_lastWorkId;
     accepted.request = std::move(request);
     accepted.requestId = std::string(field(accepted.request.message, m_adapter.names.requestId));
     ValidationContext known{m_replica->table(), m_replica->servers().isKnown(), mayUseKeys(),
                             false};
     known.isLeavingSoon =
-        m_leavingSince && now() - *m_leavingSince >= part(m_settings.shutdownGrace, longWorkShare);
+        m_leavingSince
+        && now() - *m_leavingSince >= fractionOf(m_settings.shutdownGrace, longWorkCutoffShare);
     std::optional<Failure> failure = m_examiner.validate(accepted, known);
     if (failure)
         m_backlog.recordRefusal(now());
@@ -382,8 +388,8 @@
         m_backlog.recordPlainRequest(now());
     else if (!m_backlog.admitStream(accepted.work, now())) {
         m_services->service(accepted.service).dispatcher.recordTurnedAway(accepted.work, now());
-        m_load.addPassedOver(accepted.customer);
-        failure = Failure{FailureType::HostOverloaded, false, behindRetryAfter};
+        m_load.addShedStream(accepted.customer);
+        failure = Failure{FailureType::HostOverloaded, false, overloadRetryAfter};
     }
     if (failure) {
         m_load.addRefusal();
@@ -391,14 +397,14 @@
         m_metrics->requestEnded({accepted.route ? accepted.route->name : std::string(),
                                  accepted.customer.value(), failureName(failure->type),
                                  std::nullopt, now() - accepted.request.readAt});
-        // Kept, a refused caller's connection costs more than the refusal.
+        // Keeping a rejected caller's connection open costs more than the rejection itself.
         if (failure->type == FailureType::HostOverloaded)
             sink.closeAfterAnswer();
         sink.sendAnswer(failureHead(*failure), failureBody(*failure, accepted.requestId));
         return nullptr;
     }
     m_services->service(accepted.service).retries.recordRequest(now());
-    m_entries.addRequest(now());
+    m_entryHosts.addRequest(now());
     m_load.addRequest();
     const Routing::WorkId id = accepted.id;
     auto exchange = std::make_shared<Exchange>(*this, std::move(accepted), sink);
@@ -423,8 +429,8 @@
 void Gateway::apply(const Routing::Decisions &decisions)
 {
     m_decisions.push_back(decisions);
-    // A placement may end in a further decision at once. Taken one after the other here, they
-    // neither nest without bound nor change what a loop above goes through.
+    // A placement may lead to another decision at once. The queue prevents unbounded recursion and
+    // changes of containers that a caller of this function iterates over.
     if (std::exchange(m_isApplying, true))
         return;
     while (!m_decisions.empty()) {
@@ -474,7 +480,7 @@
     return m_services->service(service).dispatcher.expectedStart(id);
 }
 
-bool Gateway::takeRepeat(const std::string &service)
+bool Gateway::acquireRetry(const std::string &service)
 {
     const bool isGranted = m_services->service(service).retries.take(m_fleet.others().hosts, now());
     m_metrics->retryRequested(isGranted);
@@ -501,22 +507,22 @@
     m_metrics->attemptFailed(Routing::nameOf(outcome));
 }
 
-void Gateway::heardFrom(const Base::ServerId &server)
+void Gateway::serverResponded(const Base::ServerId &server)
 {
-    m_heardFrom[server] = now();
+    m_lastResponses[server] = now();
 }
 
-std::optional<Base::TimePoint> Gateway::lastHeardFrom(const Base::ServerId &server)
+std::optional<Base::TimePoint> Gateway::lastResponseFrom(const Base::ServerId &server)
 {
-    const auto it = m_heardFrom.find(server);
-    if (it == m_heardFrom.end())
+    const auto it = m_lastResponses.find(server);
+    if (it == m_lastResponses.end())
         return std::nullopt;
     return it->second;
 }
 
 void Gateway::eventsForwarded(std::size_t count)
 {
-    m_entries.addEvents(count, now());
+    m_entryHosts.addEvents(count, now());
     m_backlog.recordEvents(count);
     m_load.addEvents(count);
 }
@@ -531,12 +537,12 @@
     m_metrics->storeCallFinished(call, isGood);
 }
 
-void Gateway::exchangeOver(Routing::WorkId id)
+void Gateway::exchangeFinished(Routing::WorkId id)
 {
     m_exchanges.erase(id);
 }
 
-void Gateway::configurationTaken()
+void Gateway::configurationApplied()
 {
     m_nextReport = Base::TimePoint{};
     const Routing::CallerLimits &limits = m_replica->table()->configuration().limits;
@@ -547,11 +553,11 @@
     m_services->configurationChanged();
 }
 
-void Gateway::serversChanged(const Routing::ServerChanges &changes, bool isNews)
+void Gateway::serversChanged(const Routing::ServerChanges &changes, bool notifiesZone)
 {
     if (changes.isEmpty())
         return;
-    if (isNews)
+    if (notifiesZone)
         m_nextReport = Base::TimePoint{};
     const Base::TimePoint time = now();
     for (const Base::ServerId &id : changes.found)
@@ -599,8 +605,9 @@
     if (!m_leavingSince)
         return;
     const Base::Duration age = time - *m_leavingSince;
-    const bool isQuiet = m_exchanges.empty() && age >= part(m_settings.shutdownGrace, quietShare);
-    if (isQuiet || age >= part(m_settings.shutdownGrace, endShare))
+    const bool isQuiet =
+        m_exchanges.empty() && age >= fractionOf(m_settings.shutdownGrace, idleStopShare);
+    if (isQuiet || age >= fractionOf(m_settings.shutdownGrace, forcedStopShare))
         m_io.stop();
 }
 
--- a/src/libs/gateway/gateway.h
+++ b/src/libs/gateway/gateway.h
@@ -29,42 +29,46 @@
 
 namespace Gateway {
 
-/// What callers and the platform ask about the fleet.
+/// What the discovery and readiness endpoints need to know of the fleet and of this host.
 class EntryDirectory
 {
 public:
     virtual ~EntryDirectory() = default;
-    /// "IP:PORT" of the hosts that callers may use now.
+    /// Returns the addresses "IP:PORT" of the hosts that callers may use now.
     virtual std::vector<std::string> entryAddresses() const = 0;
+    /// Returns how long callers may use an entry list.
     virtual std::chrono::seconds entryListMaxAge() const = 0;
-    /// Whether this host takes requests: it knows its configuration and does not leave.
+    /// Whether this host takes requests: it knows its configuration and its backend servers, and is
+    /// not leaving.
     virtual bool isReady() const = 0;
 };
 
-/// What a deployment adds to the gateway: its spelling of the protocols. Outlives the gateway.
+/// What a deployment adds to the gateway: its header names, its store protocol and its discovery
+/// and readiness handlers. It must outlive the gateway.
 struct DeploymentAdapter
 {
     const HeaderNames &names;
     const StoreProtocol &store;
-    /// Answers questions at the discovery and readiness addresses.
+    /// Creates the handler for requests at the discovery and readiness addresses.
     std::function<std::unique_ptr<RequestHandler>(const EntryDirectory &)> directoryHandler;
 };
 
-/// One gateway host: listens for callers, decides with the parts of Routing, forwards.
+/// One gateway host: accepts requests of callers, places them with the classes of Routing and
+/// forwards them to backend servers.
 ///
-/// All of it runs on one thread: a request's bytes cross no thread, so that an event of a stream
-/// costs one wake-up on hosts with a quarter of a core.
+/// All work runs on one thread. A request's bytes cross no thread, so that forwarding an event of a
+/// stream costs one wake-up; some hosts have only a quarter of a core.
 class Gateway final : public RequestHandler,
                       public ExchangePort,
                       public StoreReplicaListener,
                       public EntryDirectory
 {
 public:
-    /// Fails with CannotListen.
+    /// Creates a gateway that listens on all addresses of \a settings. Fails with CannotListen.
     static Base::Result<std::unique_ptr<Gateway>> create(const GatewaySettings &settings,
                                                          const DeploymentAdapter &adapter);
 
-    /// Runs until SIGTERM or SIGINT and the end of the shutdown.
+    /// Runs until the shutdown after SIGTERM or SIGINT has ended.
     void run();
 
     std::shared_ptr<ActiveRequest> handle(CallerRequest request, AnswerSink &sink) override;
@@ -76,7 +80,7 @@
                       Routing::AttemptOutcome outcome) override;
     Base::Duration expectedStart(const std::string &service, Routing::WorkId id) override;
     bool isBusy() override { return m_backlog.isBusy(now()); }
-    bool takeRepeat(const std::string &service) override;
+    bool acquireRetry(const std::string &service) override;
     const Routing::RegisteredServer *server(const Base::ServerId &id) override;
     bool mayUseKeys() override;
     BackendPool &backends() override { return m_pool; }
@@ -84,18 +88,18 @@
     EventLog &log() override { return m_log; }
     Base::TimePoint now() override;
     void attemptFailed(Routing::AttemptOutcome outcome) override;
-    void heardFrom(const Base::ServerId &server) override;
-    std::optional<Base::TimePoint> lastHeardFrom(const Base::ServerId &server) override;
+    void serverResponded(const Base::ServerId &server) override;
+    std::optional<Base::TimePoint> lastResponseFrom(const Base::ServerId &server) override;
     void requestEnded(const EndedRequest &request) override;
-    void exchangeOver(Routing::WorkId id) override;
+    void exchangeFinished(Routing::WorkId id) override;
 
-    void configurationTaken() override;
-    void serversChanged(const Routing::ServerChanges &changes, bool isNews) override;
+    void configurationApplied() override;
+    void serversChanged(const Routing::ServerChanges &changes, bool notifiesZone) override;
     void serversRead() override { m_services->serversRead(); }
     void unreadableEntriesChanged(const std::set<std::string> &entries) override;
     void storeCallFinished(const char *call, bool isGood) override;
 
-    std::vector<std::string> entryAddresses() const override { return m_entries.addresses(); }
+    std::vector<std::string> entryAddresses() const override { return m_entryHosts.addresses(); }
     void eventsForwarded(std::size_t count) override;
     std::chrono::seconds entryListMaxAge() const override { return m_settings.entryListMaxAge; }
     bool isReady() const override;
@@ -103,29 +107,33 @@
 private:
     Gateway(const GatewaySettings &settings, const DeploymentAdapter &adapter);
     Base::Result<void> listen();
-    /// Handles what is ready, and waits when nothing is.
+    /// Handles the events that are ready, and waits when there is none.
     void loop();
     void watchSignals();
-    /// Takes what may change while the process runs from the settings file, if that has changed.
+    /// Rereads the settings file if it has changed, and applies the settings that may change while
+    /// the process runs.
     void reloadIfChanged();
-    void takeSettings(const GatewaySettings &settings);
+    void applySettings(const GatewaySettings &settings);
     void tick();
     void onTick();
     void report(Base::TimePoint now);
-    /// Shares out the connections that each server takes.
+    /// Limits the connections to each server to this host's share of those that the server takes.
     void limitConnections();
-    MemberState memberOfThisHost(Base::TimePoint now) const;
-    HostReport reportOfThisHost(Base::TimePoint now) const;
+    MemberState ownMemberState(Base::TimePoint now) const;
+    HostReport ownReport(Base::TimePoint now) const;
     void reportReceived(const HostReport &report);
 
-    /// Writes the line about this host's load, once a second.
+    /// Logs this host's load, once a second.
     void logLoad(Base::TimePoint now);
+    /// Logs a request that was rejected before an exchange was created for it.
     void logRefusal(const AcceptedRequest &accepted, const Failure &failure);
+    /// Passes decisions on to their exchanges, one after the other.
     void apply(const Routing::Decisions &decisions);
 
     Base::Result<void> listenForMetrics();
     GatewayState state() const;
     void beginShutdown();
+    /// Stops the event loop when the shutdown is over.
     void checkShutdown(Base::TimePoint now);
 
     GatewaySettings m_settings;
@@ -150,24 +158,24 @@
     std::unique_ptr<HttpListener> m_callers;
     std::unique_ptr<HttpListener> m_readiness;
     std::unique_ptr<HttpListener> m_discovery;
-    EntryBoard m_entries;
+    EntryHostSelector m_entryHosts;
     Routing::StreamAdmission m_backlog;
-    HostLoadCounts m_load;
-    /// Up to where the time with work is counted.
+    HostLoadCounter m_load;
+    /// Time up to which m_load counts the busy time.
     Base::TimePoint m_busySince{};
     std::unique_ptr<Services> m_services;
     std::unordered_map<Routing::WorkId, std::shared_ptr<Exchange>> m_exchanges;
-    std::unordered_map<Base::ServerId, Base::TimePoint> m_heardFrom;
+    std::unordered_map<Base::ServerId, Base::TimePoint> m_lastResponses;
     std::deque<Routing::Decisions> m_decisions;
     Base::Incarnation m_incarnation = 0;
     std::uint64_t m_reportSequence = 0;
-    Routing::WorkId m_lastWork = 0;
+    Routing::WorkId m_lastWorkId = 0;
     Base::TimePoint m_nextReport{};
     Base::TimePoint m_nextSlowCheck{};
     std::optional<Base::TimePoint> m_leavingSince;
     std::size_t m_unreadableEntries = 0;
     bool m_isApplying = false;
-    bool m_looksForIdle = false;
+    bool m_isIdleCheckDue = false;
     bool m_wasLeaseHeld = false;
 };
 
--- a/src/libs/gateway/hostreport.cpp
+++ b/src/libs/gateway/hostreport.cpp
@@ -11,13 +11,13 @@
 
 using Json = nlohmann::json;
 
-/// First element of a report; another number is another form, which is not read.
-constexpr std::uint64_t form = 8;
-constexpr double millisecondsOfSecond = 1000;
+/// First element of a report. Reports with another format version are not read.
+constexpr std::uint64_t formatVersion = 8;
+constexpr double millisecondsPerSecond = 1000;
 constexpr std::uint64_t largestScope = static_cast<std::uint64_t>(ReportScope::Fleet);
 
-/// Reads the elements of an array one after the other. After the first that is missing or of
-/// another type, everything reads as empty and isGood() is false.
+/// Reads the elements of an array one after the other. After the first element that is missing or
+/// of another type, everything reads as empty and isGood() returns false.
 class ArrayReader
 {
 public:
@@ -41,9 +41,9 @@
         const Json *json = next();
         return json && check(json->is_boolean()) && json->get<bool>();
     }
-    /// Calls \a read with a reader of each element of an array of arrays.
+    /// Calls \a read with a reader for each element of an array of arrays.
     template <typename Read>
-    void each(Read read)
+    void forEach(Read read)
     {
         const Json *json = next();
         if (!json || !check(json->is_array()))
@@ -108,7 +108,7 @@
 
 void readAmounts(ArrayReader &reader, Amounts &amounts)
 {
-    reader.each([&](ArrayReader &it) {
+    reader.forEach([&](ArrayReader &it) {
         const Base::CustomerId customer(it.text());
         amounts[customer] = static_cast<double>(it.number());
     });
@@ -126,14 +126,14 @@
             amountsJson(load.asked),
             amountsJson(load.received),
             amountsJson(load.begun),
-            static_cast<std::uint64_t>(load.askedSeconds * millisecondsOfSecond),
+            static_cast<std::uint64_t>(load.askedSeconds * millisecondsPerSecond),
             std::move(uses)};
 }
 
 Routing::HostLoad readLoad(ArrayReader &reader)
 {
     Routing::HostLoad load;
-    reader.each([&](ArrayReader &it) {
+    reader.forEach([&](ArrayReader &it) {
         const Base::ServerId id(it.text());
         const auto running = static_cast<std::uint32_t>(it.number());
         load.servers[id] = {running, static_cast<std::uint32_t>(it.number())};
@@ -141,8 +141,8 @@
     readAmounts(reader, load.asked);
     readAmounts(reader, load.received);
     readAmounts(reader, load.begun);
-    load.askedSeconds = static_cast<double>(reader.number()) / millisecondsOfSecond;
-    reader.each([&](ArrayReader &it) {
+    load.askedSeconds = static_cast<double>(reader.number()) / millisecondsPerSecond;
+    reader.forEach([&](ArrayReader &it) {
         Routing::PartUse use;
         use.server = Base::ServerId(it.text());
         use.hash = it.number();
@@ -171,8 +171,8 @@
 Routing::ServerChange readChange(ArrayReader &reader)
 {
     Routing::ServerChange change;
-    // An unknown kind is read as one that makes the sets differ, which a reading of the store
-    // mends.
+    // An unknown kind is read as the largest known one. The sets of servers then differ, which a
+    // reading of the store corrects.
     const std::uint64_t kind = std::min(reader.number(), largestChangeKind);
     change.kind = static_cast<Routing::ServerChange::Kind>(kind);
     change.server.id = Base::ServerId(reader.text());
@@ -188,7 +188,7 @@
     return change;
 }
 
-/// Two elements, so that no number has to stand for none.
+/// Writes the age as two elements, so that no number has to stand for a missing age.
 void pushAge(Json &to, const std::optional<Base::Milliseconds> &age)
 {
     to.push_back(age.has_value());
@@ -204,11 +204,11 @@
     return Base::Milliseconds(static_cast<std::int64_t>(age & INT32_MAX));
 }
 
-Json storeJson(const StoreKnowledge &store)
+Json storeJson(const StoreState &store)
 {
     Json json{store.configurationVersion, store.serversFingerprint, store.serversVersion};
     pushAge(json, store.proofAge);
-    pushAge(json, store.lossAge);
+    pushAge(json, store.outageAge);
     Json changes = Json::array();
     for (const Routing::ServerChange &change : store.serverChanges)
         changes.push_back(changeJson(change));
@@ -216,26 +216,26 @@
     return json;
 }
 
-StoreKnowledge readStore(ArrayReader &reader)
+StoreState readStore(ArrayReader &reader)
 {
-    StoreKnowledge store;
+    StoreState store;
     store.configurationVersion = reader.number();
     store.serversFingerprint = reader.number();
     store.serversVersion = reader.number();
     store.proofAge = readAge(reader);
-    store.lossAge = readAge(reader);
-    reader.each([&](ArrayReader &it) { store.serverChanges.push_back(readChange(it)); });
+    store.outageAge = readAge(reader);
+    reader.forEach([&](ArrayReader &it) { store.serverChanges.push_back(readChange(it)); });
     return store;
 }
 
-/// Null if \a bytes are not one CBOR item.
+/// Returns null if \a bytes are not exactly one CBOR item.
 Json parseCbor(std::string_view bytes)
 {
     try {
         return Json::from_cbor(bytes.begin(), bytes.end(), true, false);
     } catch (const Json::exception &) {
-        // A length that no memory holds is thrown although exceptions are not asked for. Not
-        // caught, nine bytes from anywhere would end the process.
+        // The library throws for a length that exceeds the memory even if exceptions are disabled.
+        // Uncaught, nine bytes from anywhere would end the process.
         return {};
     }
 }
@@ -250,7 +250,7 @@
     Json members = Json::array();
     for (const MemberState &member : report.members)
         members.push_back(memberJson(member));
-    const Json json = {form,
+    const Json json = {formatVersion,
                        report.incarnation,
                        report.sequence,
                        static_cast<std::uint64_t>(report.scope),
@@ -269,19 +269,19 @@
     const Json json = parseCbor(bytes);
     ArrayReader reader(json);
     HostReport report;
-    const bool isForm = reader.number() == form;
+    const bool hasKnownFormat = reader.number() == formatVersion;
     report.incarnation = reader.number();
     report.sequence = reader.number();
     const std::uint64_t scope = reader.number();
-    reader.each([&](ArrayReader &it) { report.self = readMember(it); });
-    reader.each([&](ArrayReader &it) { report.store = readStore(it); });
-    reader.each([&](ArrayReader &it) {
+    reader.forEach([&](ArrayReader &it) { report.self = readMember(it); });
+    reader.forEach([&](ArrayReader &it) { report.store = readStore(it); });
+    reader.forEach([&](ArrayReader &it) {
         const Base::HostId host(it.text());
         report.echoes[host] = it.number();
     });
-    reader.each([&](ArrayReader &it) { report.members.push_back(readMember(it)); });
-    reader.each([&](ArrayReader &it) { report.load = readLoad(it); });
-    if (!isForm || !reader.isGood() || scope > largestScope || report.self.host.isEmpty())
+    reader.forEach([&](ArrayReader &it) { report.members.push_back(readMember(it)); });
+    reader.forEach([&](ArrayReader &it) { report.load = readLoad(it); });
+    if (!hasKnownFormat || !reader.isGood() || scope > largestScope || report.self.host.isEmpty())
         return boost::leaf::new_error(MalformedReport());
     report.scope = static_cast<ReportScope>(scope);
     return report;
--- a/src/libs/gateway/services.cpp
+++ b/src/libs/gateway/services.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// One server's reading speed over its part of the whole throughput. The throughput counts what
-/// is generated twice; a server that only reads is about this much faster.
-constexpr double readingFactor = 1.15;
+/// Ratio of one server's prefill speed to its part of the total throughput. The throughput counts
+/// generated tokens twice; a server that only reads prompts is faster by about this factor.
+constexpr double prefillFactor = 1.15;
 
-/// Empty if the configuration does not tell what moving the memory of a token takes.
+/// Returns the time to transfer the memory of one token between servers, in milliseconds. Empty if
+/// the configuration does not state it.
 std::optional<double> transferMsPerToken(const Routing::EngineTraits &engine)
 {
     if (engine.bytesPerToken == 0 || engine.linkMbps == 0)
@@ -68,7 +69,7 @@
     const auto throughput = static_cast<double>(table->configuration().limits.tokensPerSecond);
     traits.sharedTokensPerSecond = throughput;
     if (servers > 0)
-        traits.readTokensPerMs = throughput * readingFactor / static_cast<double>(servers) / 1000;
+        traits.readTokensPerMs = throughput * prefillFactor / static_cast<double>(servers) / 1000;
     return traits;
 }
 
@@ -80,7 +81,8 @@
 
 void Services::serversChanged()
 {
-    // What one server reads is its part of the configured throughput.
+    // A server's reading speed is its part of the configured throughput, so it depends on the
+    // number of servers.
     configurationChanged();
     serversRead();
 }
@@ -119,18 +121,18 @@
         it.dispatcher.report(load, now);
 }
 
-void Services::showLevels(LoadFigures &figures, Base::TimePoint now)
+void Services::fillLevels(LoadSample &sample, Base::TimePoint now)
 {
-    const auto takeLower = [](std::optional<double> &lowest, double level) {
-        // A log line has no way to write infinity.
+    const auto keepLower = [](std::optional<double> &lowest, double level) {
+        // A log line cannot represent infinity.
         if (std::isfinite(level) && (!lowest || level < *lowest))
             lowest = level;
     };
     for (auto &[name, it] : m_services) {
         if (!traitsOf(name).isEngine)
             continue;
-        takeLower(figures.shareLevel, it.dispatcher.shareLevel(now));
-        takeLower(figures.unmetLevel, it.dispatcher.unmetLevel());
+        keepLower(sample.shareLevel, it.dispatcher.shareLevel(now));
+        keepLower(sample.unmetLevel, it.dispatcher.unmetLevel());
     }
 }
 
--- a/tests/auto/gateway/tst_exchange.cpp
+++ b/tests/auto/gateway/tst_exchange.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-class Sink final : public AnswerSink
+class RecordingSink final : public AnswerSink
 {
 public:
     void sendAnswer(const ResponseHead &head, std::string_view) override
@@ -38,18 +38,18 @@
     std::vector<unsigned> statuses;
 };
 
-/// A gateway of one server, which places work when it is told to.
-class Port final : public ExchangePort
+/// A gateway with one server. It places work when the test tells it to.
+class SingleServerPort final : public ExchangePort
 {
 public:
-    Port()
+    SingleServerPort()
         : m_null(open("/dev/null", O_WRONLY | O_CLOEXEC))
         , m_log(m_null, 0)
         , m_pool(m_io, m_names, m_buffer)
     {}
-    ~Port() override { close(m_null); }
-    Port(const Port &) = delete;
-    Port &operator=(const Port &) = delete;
+    ~SingleServerPort() override { close(m_null); }
+    SingleServerPort(const SingleServerPort &) = delete;
+    SingleServerPort &operator=(const SingleServerPort &) = delete;
 
     void submitWork(const std::string &, Routing::Work work) override { submitted = work.id; }
     void withdrawWork(const std::string &, Routing::WorkId) override {}
@@ -61,7 +61,7 @@
     }
     Base::Duration expectedStart(const std::string &, Routing::WorkId) override { return {}; }
     bool isBusy() override { return false; }
-    bool takeRepeat(const std::string &) override { return true; }
+    bool acquireRetry(const std::string &) override { return true; }
     const Routing::RegisteredServer *server(const Base::ServerId &) override { return &m_entry; }
     bool mayUseKeys() override { return true; }
     BackendPool &backends() override { return m_pool; }
@@ -69,13 +69,13 @@
     EventLog &log() override { return m_log; }
     Base::TimePoint now() override { return bootTimeNow(); }
     void attemptFailed(Routing::AttemptOutcome) override {}
-    void heardFrom(const Base::ServerId &) override {}
-    std::optional<Base::TimePoint> lastHeardFrom(const Base::ServerId &) override { return {}; }
+    void serverResponded(const Base::ServerId &) override {}
+    std::optional<Base::TimePoint> lastResponseFrom(const Base::ServerId &) override { return {}; }
     void eventsForwarded(std::size_t) override {}
     void requestEnded(const EndedRequest &request) override { ended.push_back(request.outcome); }
-    void exchangeOver(Routing::WorkId) override {}
+    void exchangeFinished(Routing::WorkId) override {}
 
-    std::shared_ptr<Exchange> exchange(Sink &sink)
+    std::shared_ptr<Exchange> exchange(RecordingSink &sink)
     {
         AcceptedRequest accepted;
         accepted.id = 1;
@@ -128,27 +128,27 @@
 
 } // namespace
 
-// Guards against servers that work for callers who left while their request lay unread.
+// Guards against servers that work for callers who left before their request was read.
 TEST_CASE("a request whose caller has left is not sent", "[gateway]")
 {
-    Port port;
-    Sink sink;
+    SingleServerPort port;
+    RecordingSink sink;
     const std::shared_ptr<Exchange> exchange = port.exchange(sink);
     REQUIRE(port.submitted == 1);
     sink.isGone = true;
     exchange->placed(port.placement());
     port.poll();
     CHECK_FALSE(port.backend.isCalled());
-    CHECK(exchange->isOver());
+    CHECK(exchange->isFinished());
     CHECK(port.ended == std::vector<std::string>{"caller_gone"});
-    // Its place is free again, and the server is not blamed.
+    // The server's slot is free again, and the server is not blamed.
     CHECK(port.outcomes == std::vector{Routing::AttemptOutcome::Withdrawn});
 }
 
 TEST_CASE("a request whose caller waits is sent to its server", "[gateway]")
 {
-    Port port;
-    Sink sink;
+    SingleServerPort port;
+    RecordingSink sink;
     const std::shared_ptr<Exchange> exchange = port.exchange(sink);
     exchange->placed(port.placement());
     REQUIRE(port.backend.isCalled());
