--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -11,40 +11,45 @@
 
 using std::chrono::milliseconds;
 
-/// Another availability zone costs two ways of about half a millisecond, and its bytes are paid
-/// for: weighed as a few milliseconds, so that it decides only among equals.
+/// A server in another availability zone adds two network trips of about half a millisecond each,
+/// and its traffic is billed. This weight of a few milliseconds decides only between servers that
+/// are otherwise equal.
 constexpr double otherZoneMilliseconds = 4;
-/// What a certain failure costs a caller: the time in which it and the second attempt run.
+/// The cost of a failed attempt for a caller: the time of the failed attempt and of the second one.
 constexpr double failureMilliseconds = 1200;
-/// Head start of the server that a prompt beginning which nobody keeps has by hashing. Hosts that
-/// meet it at the same moment choose the same one, unless that is busy.
+/// The cost added to every server other than the rendezvous server of a beginning that is not
+/// cached anywhere. Hosts that see the same beginning at the same moment thus choose the same
+/// server, unless it is busy.
 constexpr double hashedMilliseconds = 60;
-/// Beginnings shorter than this are not told to the other hosts: reading them again costs less
-/// than telling of the many there are.
+/// Shorter beginnings are not reported to the other hosts: there are many of them, and reading one
+/// again costs less than reporting it.
 constexpr std::uint32_t leastToldTokens = 200;
-/// Work may wait here until this part of its start target is used up; later it would start late
-/// at a server as well, and the caller is better served by another host or a later time.
+/// The share of its start target for which a request may wait here. A request that waits longer
+/// would start late at a server too, and another host or a later time serves its caller better.
 constexpr double waitShare = 0.5;
-/// Requests that wait at this host. Each holds its body of some ten kilobytes.
+/// The maximum number of requests that wait at this host. Each holds a body of about ten kilobytes.
 constexpr std::size_t mostWaiting = 400;
-/// A generated token costs an engine about as much as two read ones.
+/// Generating a token costs an engine about as much as reading two tokens.
 constexpr double generatedWeight = 2;
-/// Callers allow about four times as many tokens as are generated.
+/// The expected ratio of generated to allowed tokens: callers allow about four times as many tokens
+/// as are generated.
 constexpr double generatedShare = 0.25;
-/// A prompt that another host sent is read about this long after the host's report: servers have up
-/// to a third of a second before them, and the report was a tenth of a second under way.
+/// The time from another host's report until the server has read the reported prompt. Servers have
+/// up to a third of a second of reading queued, and the report was on its way for a tenth of a
+/// second.
 constexpr Base::Duration toldReadingTime = milliseconds(200);
-/// Share of failed attempts from which on nothing is fetched from a server.
+/// Nothing is fetched from a server whose share of failed attempts is this or higher.
 constexpr double mostKeeperFailures = 0.15;
-/// Work whose server has no room that is passed over in search of work whose server has some.
+/// The maximum number of waiting requests that one placement pass skips because their best server
+/// is full, in search of one whose server has capacity.
 constexpr std::size_t mostPassedOver = 24;
-/// Least time between two looks at what waits: one takes up to a millisecond of a strong core, and
-/// requests end hundreds of times a second.
+/// The minimum time between two placement passes. A pass takes up to a millisecond of a fast core,
+/// and requests end hundreds of times a second.
 constexpr Base::Duration drainInterval = milliseconds(10);
-/// Between two looks for prompt parts that are no longer kept: they count as dropped by their time
-/// anyway, and there are thousands of them.
+/// The time between two passes that evict expired prompt parts. Expired parts are ignored in any
+/// case, and there are thousands of them.
 constexpr Base::Duration forgetInterval = std::chrono::seconds(1);
-/// Between two looks at how crowded the servers are: as often as reports of other hosts change it.
+/// The time between two updates of the saturation. The reports of other hosts change it this often.
 constexpr Base::Duration crowdingInterval = milliseconds(100);
 constexpr milliseconds leastRetryAfter{200};
 constexpr milliseconds mostRetryAfter{2000};
@@ -113,19 +118,19 @@
         decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::NoServer, now));
         return decisions;
     }
-    // Work that comes back was let in before, and a server may have spent time on it: turned away
-    // now, its caller could not even be told that it has not run.
+    // A returning request was admitted before, and a server may have spent time on it. If it were
+    // turned away now, its caller could not be told that it has not run.
     const bool isBack = !work.tried.empty();
     const Admission admission =
         isBack ? Admission::WithinShare : m_shares.admission(work.customer, now);
-    // Told at once: looking at a hundred servers first would cost a crowded host more than the rest
-    // of the refusal.
+    // The refusal comes first: looking at a hundred servers would cost an overloaded host more than
+    // the rest of the refusal.
     if (admission == Admission::Refused) {
         decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::BeyondShare, now));
         return decisions;
     }
     const bool takesAny = isBack || admission == Admission::SpareCapacity;
-    // Work that waits is mostly for servers without room, so new work may pass it by.
+    // Waiting requests mostly wait for servers that are full, so a new request may overtake them.
     const std::optional<Choice> choice = choose(work, now, admission, takesAny);
     if (choice && choice->hasRoom) {
         if (!isBack)
@@ -144,7 +149,7 @@
     const Base::Duration mayWait =
         std::chrono::duration_cast<Base::Duration>((work.startBy - work.arrivedAt) * waitShare);
     if (now + waitBehind(work.customer) > work.arrivedAt + mayWait) {
-        // A server that has to read more is better than none.
+        // A server that has to read more of the prompt is better than none.
         if (const std::optional<Choice> any = choose(work, now, admission, true)) {
             if (!isBack)
                 m_shares.recordLetIn(work.customer, tokensOf(work), now);
@@ -300,8 +305,9 @@
     cost = m_cost.startMilliseconds(standing, choice.unreadTokens);
     if (choice.fetch)
         cost += choice.fetch->milliseconds;
-    // What waits for the server is served first: without it a hundred requests for one beginning
-    // would all wait for the server that keeps it, beside idle ones.
+    // Requests that wait for the server are served first. Without this term, a hundred requests
+    // with the same beginning would all wait for the server that has it cached, while others are
+    // idle.
     if (m_cost.traits().isEngine)
         cost += m_cost.readMilliseconds(static_cast<double>(state.awaitedTokens));
     cost += m_cost.rereadMilliseconds(prompt.mostTokens - std::min(there, prompt.mostTokens));
@@ -323,8 +329,8 @@
     if (chain.empty() || !m_cost.traits().moveMsPerToken)
         return keepers;
     for (const auto &[id, state] : m_servers) {
-        // A fetch from a server that has failed this request, or others of late, would hang or
-        // come back empty, and the request would start late at a server that is well.
+        // A fetch from a server that failed this request, or other requests recently, would hang or
+        // return nothing. The request would then start late at a healthy server.
         if (!state.health.isUsable(now) || wasTried(work, id)
             || state.health.failureShare(now) >= mostKeeperFailures)
             continue;
@@ -469,7 +475,7 @@
         return now - work.arrivedAt > (work.startBy - work.arrivedAt) * waitShare;
     });
     for (const Work &work : late) {
-        // Any server is better than none, now that the best one will not be free in time.
+        // Any server is better than none, since the best one will not be free in time.
         if (const std::optional<Choice> choice = choose(work, now, Admission::WithinShare, true)) {
             place(work, *choice, now, decisions);
             continue;
@@ -482,8 +488,8 @@
 
 Base::Duration Dispatcher::waitBehind(const Base::CustomerId &customer) const
 {
-    // Customers take turns, so what a customer waits for is its own work, as many times over as
-    // there are customers that wait.
+    // Customers take turns, so the wait of a customer is the time for its own requests multiplied
+    // by the number of customers that wait.
     const std::uint64_t own = m_waiting.tokensOf(customer);
     const std::size_t others = std::max<std::size_t>(m_waiting.customers(), 1);
     const double tokens = std::min(static_cast<double>(own) * static_cast<double>(others),
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -20,58 +20,63 @@
 
 namespace Routing {
 
-/// Decides for the requests of one service that enter at this host: which server, now or later,
-/// or not at all.
+/// Decides where the requests of one service that enter at this host go: to a server now, to a
+/// server later, or nowhere.
 ///
-/// Load: the pool is crowded by a burst, by a large customer, or because servers are lost. Servers
-/// take work in order of arrival and one long prompt delays all that run beside it. So a server is
-/// kept only just full and what is more waits here, in fair order; work that could not start in
-/// time behind what waits is turned away at once, with a time after which there should be room.
+/// A pool may be overloaded by a burst, by a large customer, or because servers are lost. Servers
+/// run requests in order of arrival, and one long prompt delays all requests beside it. Therefore
+/// each server is kept only just full, and further requests wait here in a fair order. A request
+/// that could not start in time behind the waiting ones is turned away at once, together with a
+/// time after which capacity is expected.
 ///
-/// CustomerShares says what room a customer's work may have: within its share it waits for a server
-/// that is full, beyond it it is placed on a server with little to do, or turned away at once.
+/// CustomerShares decides how much capacity a customer's requests may use. Within its share, a
+/// request waits for a server that is full. Beyond its share, it is placed on a server with little
+/// load, or turned away at once.
 ///
-/// Placement weighs, in milliseconds to the first event: prompt tokens given to the server and not
-/// read yet, by this host and the others; tokens of this prompt that it does not keep; requests
-/// that run there; how slow it was of late, and how often it failed. A prompt beginning goes where
-/// it is kept, also if that server is free only a little later than others; further servers read
-/// it when the ones that keep it are crowded. The hosts tell each other what they sent where, and a
-/// beginning that nobody keeps begins at the same server at all of them, by hashing.
+/// The choice of a server compares estimates of the time to the first event in milliseconds. They
+/// include the prompt tokens that this host and the others sent to the server and that it has not
+/// read yet, the tokens of this prompt that the server has not cached, the requests that run there,
+/// its recent slowness, and its recent failures. A prompt goes to a server that has its beginning
+/// cached, also if that server is free a little later than others. Further servers read the
+/// beginning when the ones that have it cached are busy. The hosts report to each other which
+/// prompt parts they sent to which server. All hosts send a beginning that is not cached anywhere
+/// to the same server, which rendezvous hashing selects.
 class Dispatcher
 {
 public:
     Dispatcher(const ServiceTraits &traits, const Base::ZoneId &ownZone);
 
     void setTraits(const ServiceTraits &traits);
-    /// The servers that may get work now.
+    /// Sets the servers that may get requests now.
     void setServers(const std::vector<RegisteredServer> &servers);
-    /// \a others changes with time and outlives the dispatcher; othersChanged() is to follow each
-    /// change.
+    /// Sets the load of the other hosts. \a peerLoad must outlive the dispatcher and may change;
+    /// peerLoadChanged() must be called after each change.
     void setOthers(const OthersLoad &others);
     void othersChanged();
 
-    /// Work that arrives, or comes back after a failed attempt.
+    /// Handles a request that arrives, or that returns after a failed attempt.
     Decisions submit(Work work, Base::TimePoint now);
-    /// Work that this host turned away before it came here. It is demand all the same: without it
-    /// the fleet believes that its customer lacks nothing.
+    /// Records a request that this host turned away before it reached the dispatcher. It counts as
+    /// demand: otherwise the fleet would assume that its customer gets all that it asks for.
     void turnedAwayBefore(const Work &work, Base::TimePoint now);
-    /// Work that waits and is no longer wanted.
+    /// Removes a waiting request that is no longer wanted.
     void withdraw(WorkId id);
-    /// The first event of placed work came.
+    /// Records that the first event of a placed request came.
     void started(WorkId id, Base::TimePoint now);
-    /// The attempt is over; what waits may take its place.
+    /// Records that the attempt is over. Waiting requests may then be placed.
     Decisions finished(WorkId id, AttemptOutcome outcome, Base::TimePoint now);
-    /// Looks at what waits again: time has passed, or servers or loads have changed.
+    /// Reconsiders the waiting requests. Called when time has passed or when servers or loads have
+    /// changed.
     Decisions advance(Base::TimePoint now);
 
-    /// When the first event of placed work is expected, from when it was placed.
+    /// Returns the expected time from the placement of a request to its first event.
     Base::Duration expectedStart(WorkId id) const;
     /// Adds this host's load to \a load.
     void report(HostLoad &load, Base::TimePoint now);
-    /// What another host sent to the servers.
+    /// Applies the part uses that another host reported.
     void learnPartUses(const std::vector<PartUse> &uses, Base::TimePoint now);
     std::size_t waiting() const { return m_waiting.size(); }
-    /// For the log (CustomerShares).
+    /// The levels of CustomerShares, for the log.
     double shareLevel(Base::TimePoint now) { return m_shares.shareLevel(now); }
     double unmetLevel() const { return m_shares.unmetLevel(); }
 
@@ -80,15 +85,16 @@
     {
         RegisteredServer server;
         ServerLoad own;
-        /// Of all other hosts. Looked up once a report and not for each decision, which looks at
-        /// all servers.
+        /// The sum over all other hosts. It is looked up once for each report and not for each
+        /// decision, because a decision looks at all servers.
         ServerLoad others;
         ServerHealth health;
         PromptCache cache;
-        /// Prompt tokens of work that waits here for this server and would not be served sooner by
-        /// another one.
+        /// The prompt tokens of requests that wait here for this server because no other one would
+        /// serve them sooner.
         std::uint64_t awaitedTokens = 0;
-        /// What this host has ordered other servers to fetch from it and is not there yet, as time.
+        /// The time that the server needs for the transfers that this host ordered other servers to
+        /// make from it and that are not complete yet.
         double handingOutMilliseconds = 0;
     };
     struct Placed
@@ -96,7 +102,8 @@
         Work work;
         Base::ServerId server;
         std::uint32_t unreadTokens = 0;
-        /// Its time is that which it takes at the keeper, without what waits there.
+        /// The fetch that the placement includes. Its time is that of the transfer at the source,
+        /// without the time in the source's queue.
         std::optional<FetchPlan> fetch;
         bool isStarted = false;
         Base::TimePoint at;
@@ -110,38 +117,42 @@
         bool hasRoom = false;
         std::optional<FetchPlan> fetch;
     };
-    /// Where the beginning of the prompt that is decided on is kept.
+    /// The state of the cached copies of one prompt's beginning.
     struct KeptPrompt
     {
-        /// Most tokens of it that one server keeps.
+        /// The largest number of the prompt's tokens that one server has cached.
         std::uint32_t mostTokens = 0;
-        /// The server for a beginning that nobody keeps whole; null if one does.
+        /// The server that rendezvous hashing selects for a beginning that no server has cached
+        /// completely. It is null if a server has.
         const ServerState *hashed = nullptr;
         PrefixFetch fetch;
     };
-    /// The server that serves the work soonest. If that one has no room, the work is to wait for
-    /// it, since it would be served later elsewhere. With \a takesAny only servers with room count.
+    /// Returns the server with the lowest estimated cost, or nothing if no server qualifies. If
+    /// that server has no capacity, the request should wait for it, since any other server would
+    /// serve it later. With \a onlyWithRoom, only servers that have capacity count.
     std::optional<Choice> choose(const Work &work, Base::TimePoint now, Admission admission,
                                  bool takesAny = false);
-    /// What the work costs at one server that keeps \a keptTokens of its prompt.
+    /// Estimates the cost of the request at a server that has \a cachedTokens of its prompt cached.
     Choice choiceOf(ServerState &state, const ServerStanding &standing, const Work &work,
                     std::uint32_t keptTokens, const KeptPrompt &prompt, Base::TimePoint now) const;
-    /// Who could hand out the beginning of the prompt that is decided on.
+    /// Returns the servers from which others can fetch the beginning of the request's prompt.
     std::vector<PrefixKeeper> keepersOf(const Work &work, const std::vector<ChainLink> &chain,
                                         Base::TimePoint now) const;
-    /// The work began or ended; its server has fetched what it was to fetch.
+    /// Removes the fetch of a request that has started or ended from the load of the fetch's
+    /// source. The server has then fetched what it was to fetch.
     void fetchOver(Placed &placed);
     ServerStanding standingOf(const ServerState &state, Base::TimePoint now) const;
-    /// The server that a prompt beginning has by hashing; null if there are none.
+    /// Returns the server that rendezvous hashing selects for \a beginning, or null if there are no
+    /// servers.
     const ServerState *hashedServer(std::uint64_t beginning) const;
     void notePartUses(ServerState &state, const Work &work, Base::TimePoint now,
                       Base::TimePoint readBy);
     bool hasRoom(const ServerState &state, Admission admission, Base::TimePoint now) const;
-    /// Mean over the servers that may get work now: 0 with spare room, 1 without, 2 without room
-    /// for anybody.
+    /// Returns the mean saturation of the servers that may get requests now. A server counts as 0
+    /// with spare capacity, as 1 without, and as 2 if it is full for everybody.
     double crowding(Base::TimePoint now) const;
     void place(Work work, const Choice &choice, Base::TimePoint now, Decisions &decisions);
-    /// Places what waits as far as there is room.
+    /// Places waiting requests as far as there is capacity.
     void drain(Base::TimePoint now, Decisions &decisions);
     TurnedAway turnAway(const Work &work, TurnedAwayReason reason, Base::TimePoint now);
     void turnAwayLate(Base::TimePoint now, Decisions &decisions);
@@ -157,7 +168,8 @@
     std::unordered_map<WorkId, Placed> m_placed;
     FairWaiting m_waiting;
     std::vector<PartUse> m_partUses;
-    /// Tokens that each server keeps of the prompt that is decided on, in their order.
+    /// The tokens of the current request's prompt that each server has cached, in the order of
+    /// m_servers.
     std::vector<std::uint32_t> m_kept;
     Base::TimePoint m_drainedAt{};
     Base::TimePoint m_measuredAt{};
