--- a/src/libs/routing/serverset.cpp
+++ b/src/libs/routing/serverset.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Five reports to the other hosts: one or two of them may be lost.
+/// The span covers five reports to the other hosts, of which one or two may be lost.
 constexpr Base::Duration recentFor = std::chrono::milliseconds(1000);
 
-/// Between a server's name and its start. Names on the platform do not hold it; one that did would
-/// only look odd in a log, since the start is a number.
+/// Separates a server's name from its start. Names on the platform do not contain it; a name that
+/// did would still be unambiguous, since the start is a number.
 constexpr char startSeparator = '@';
 
 RegisteredServer serverOf(const Base::ServerId &id)
@@ -68,7 +68,7 @@
             ++it;
             continue;
         }
-        // Not ended for good: a server whose heartbeats were held up registers itself again.
+        // The id may be used again: a server whose heartbeats were delayed registers itself again.
         changes.gone.push_back(it->first);
         it = m_servers.erase(it);
     }
@@ -85,8 +85,9 @@
                 continue;
             supersede(change.server.start, applied);
         }
-        // The other host may not have met the outage in which the entry lapsed. One that goes on
-        // for longer than this host alone meets it: the other one reads the store.
+        // The other host may not have noticed the outage in which the entry expired. An outage that
+        // lasts longer than the grace period concerns this host alone, since the other host reads
+        // the store.
         const bool isNewlyAway = m_isStoreAway && now - m_storeAwayAt < m_returnGrace;
         if (change.kind == ServerChange::Kind::Gone && (keepsMissing(now) || isNewlyAway))
             continue;
@@ -195,7 +196,8 @@
 
 bool ServerSet::isLapse(const std::set<Base::ServerId> &present, Base::TimePoint now) const
 {
-    // Of a longer outage this host meets a part itself, or the other one is cut off.
+    // In a longer outage, this host would notice a part of it itself, or the other host is cut off
+    // from the store.
     const bool isOutageNear =
         m_otherOutageAt != Base::TimePoint::min() && now - m_otherOutageAt < m_returnGrace;
     if (!isOutageNear)
@@ -203,8 +205,8 @@
     const auto missing = std::count_if(m_servers.begin(), m_servers.end(), [&](const auto &it) {
         return present.count(it.first) == 0;
     });
-    // A host may be cut off while the store is well. What ends meanwhile is a server or two, and
-    // keeping those would send requests to servers that left.
+    // Another host may be cut off from a store that works well. Then only a server or two end in
+    // the meantime, and keeping those would send requests to servers that are gone.
     return 2 * static_cast<std::size_t>(missing) > m_servers.size();
 }
 
--- a/src/libs/routing/serverset.h
+++ b/src/libs/routing/serverset.h
@@ -13,57 +13,57 @@
 
 namespace Routing {
 
-/// One start of a backend server. The same server may start again under the name that it had; it
-/// then keeps and knows nothing of before, so it is another server for every decision.
+/// One start of a backend server. A server may start again under the name that it had. It has then
+/// lost its state, so every decision treats it as another server.
 struct ServerStart
 {
-    /// What the server calls itself; the same for all its starts.
+    /// The name that the server registers; it is the same for all its starts.
     std::string name;
-    /// Unix time of the start, as the server tells it; 0 if it does not.
+    /// The Unix time of the start as the server reports it; 0 if it does not.
     Base::Milliseconds at{0};
 
     bool operator==(const ServerStart &) const = default;
 };
 
-/// Names one start: no two starts of one server have the same.
+/// Returns the id of one start. No two starts of one server have the same id.
 Base::ServerId idOf(const ServerStart &start);
 
 /// A backend server as it registered itself in the store.
 struct RegisteredServer
 {
-    /// One start of a server, idOf() it; never used again.
+    /// The id of this start of the server as idOf() returns it. It is never used again.
     Base::ServerId id;
     ServerStart start;
     std::string service;
-    /// "IP:PORT"; may be given to another server later.
+    /// The address as "IP:PORT". Another server may get it later.
     std::string address;
     Base::ZoneId zone;
-    /// Requests that it runs at once.
+    /// The number of requests that the server runs at once.
     std::uint32_t slots = 1;
     bool isLeaving = false;
-    /// How much longer the server is slow after its start.
+    /// The remaining time for which the server is slow after its start.
     Base::Milliseconds warmingUp{0};
 
     bool operator==(const RegisteredServer &) const = default;
 };
 
-/// One thing that happened to a backend server.
+/// A change of a backend server's state.
 struct ServerChange
 {
     enum class Kind : std::uint8_t {
-        Found,   ///< It may get work now.
-        Leaving, ///< It says that it leaves: for good.
-        Gone,    ///< Its entry is missing.
+        Found,   ///< The server may get requests now.
+        Leaving, ///< The server announced that it leaves. This is final.
+        Gone,    ///< The server's entry is missing.
     };
 
     Kind kind = Kind::Found;
-    /// Of one that is leaving or gone only the id counts.
+    /// The server that changed. For kinds other than Found, only its id is valid.
     RegisteredServer server;
 
     bool operator==(const ServerChange &) const = default;
 };
 
-/// What a reading of the store changed.
+/// The ids of the servers whose state changed by a reading of the store or by a report.
 struct ServerChanges
 {
     std::vector<Base::ServerId> found;
@@ -73,18 +73,19 @@
     bool isEmpty() const { return found.empty() && leaving.empty() && gone.empty(); }
 };
 
-/// The backend servers that may get work.
+/// The set of backend servers that may get requests.
 ///
-/// Two things are kept apart that look alike in a list. A server that says that it leaves is
-/// leaving for good, whatever an older reading says later: its id is never used again. An entry
-/// that is missing means that the server is gone, but not while the store is away or has just
-/// come back: entries lapse there although their servers run, and using none of them would stop
-/// all work. They are kept until \a returnGrace after the store's return, also if another host,
-/// which may not have met the outage, says that they are gone. A host that did not call the store
-/// during the outage knows it by what others report and by most entries missing at once.
+/// It distinguishes two cases that look alike in a list. A server that announces that it leaves is
+/// gone for good, whatever an older reading says later: its id is never used again. A server whose
+/// entry is missing is gone too, except while the store is unreachable or has just become reachable
+/// again. Entries expire during an outage although their servers run, and dropping them all would
+/// leave requests without a server. Therefore missing entries are kept until \a gracePeriod after
+/// the store's return, also if another host, which may not have noticed the outage, reports them as
+/// gone. A host that did not call the store during the outage detects it by the reports of other
+/// hosts and by most entries missing at once.
 ///
-/// A later start of a server replaces the earlier one at once. An earlier one never comes back,
-/// whoever tells of it: its connections are dead, and what it kept of prompts is lost.
+/// A later start of a server replaces the earlier one at once. An earlier start never comes back,
+/// whoever reports it: its connections are dead, and its cached prompt parts are lost.
 class ServerSet
 {
 public:
@@ -92,27 +93,28 @@
         : m_returnGrace(returnGrace)
     {}
 
-    /// The store answered with all entries. Readings are given in the order of their questions.
+    /// Applies a complete list of entries that the store returned. Lists must be applied in the
+    /// order in which they were requested.
     ServerChanges apply(const std::vector<RegisteredServer> &listed, Base::TimePoint now);
-    /// What another host saw happen, in that order. May be given again, and with a part left out:
-    /// the fingerprints then tell that the sets differ.
+    /// Applies changes that another host saw, in their order. Changes may be repeated or partly
+    /// lost; in the latter case the fingerprints show that the sets differ.
     ServerChanges applyChanges(const std::vector<ServerChange> &changes, Base::TimePoint now);
-    /// What happened within the last second, in order, for hosts that do not read the store.
+    /// Returns the changes of the last second in their order, for hosts that do not read the store.
     std::vector<ServerChange> recentChanges(Base::TimePoint now) const;
-    /// The store did not answer in time, or refused.
+    /// Records that the store did not answer in time, or refused the request.
     void storeFailed(Base::TimePoint now);
-    /// Another host tells that it lost the store at \a lostAt, by this host's clock.
+    /// Records that another host lost the store at \a lostAt, in terms of this host's clock.
     void outageReported(Base::TimePoint lostAt);
 
     bool isKnown() const { return m_isKnown; }
-    /// Whether an entry that is missing counts as gone: the store neither is away, as seen from
-    /// here, nor has just come back. Else another host's set is the better one.
+    /// Returns whether a missing entry means that the server is gone: the store is reachable from
+    /// here and did not just become reachable again. Otherwise another host's set is more reliable.
     bool isSettled(Base::TimePoint now) const { return !m_isStoreAway && !keepsMissing(now); }
-    /// Since when the store does not answer this host; empty while it does.
+    /// Returns the time since which the store does not answer this host, or nothing while it does.
     std::optional<Base::TimePoint> storeAwayAt() const;
-    /// The same for two sets with the same usable servers.
+    /// Returns a hash that is the same for two sets with the same usable servers.
     std::uint64_t fingerprint() const;
-    /// Null for one that is leaving, gone or never seen.
+    /// Returns the server with \a id, or null if it is leaving, gone or unknown.
     const RegisteredServer *usable(const Base::ServerId &id) const;
     const std::map<Base::ServerId, RegisteredServer> &servers() const { return m_servers; }
 
@@ -123,23 +125,23 @@
         Base::TimePoint at;
     };
 
-    /// False if nothing changed by it.
+    /// Returns false if \a change has no effect.
     bool applyOne(const ServerChange &change);
-    /// Whether a later start of the same server is known.
+    /// Returns whether a later start of the same server is known.
     bool isOutdated(const ServerStart &start) const;
-    /// Notes the start if it is the latest one of its server, and removes the one before it.
+    /// Records the start if it is the latest one of its server, and removes the previous one.
     void supersede(const ServerStart &start, ServerChanges &changes);
     void note(const ServerChanges &changes, Base::TimePoint now);
     bool keepsMissing(Base::TimePoint now) const;
-    /// Whether \a present lacks so many servers that their entries must have lapsed in an outage
-    /// that another host met.
+    /// Returns whether \a present lacks so many servers that their entries must have expired in an
+    /// outage that another host noticed.
     bool isLapse(const std::set<Base::ServerId> &present, Base::TimePoint now) const;
 
     Base::Duration m_returnGrace;
     std::map<Base::ServerId, RegisteredServer> m_servers;
-    /// Ids that have ever been seen leaving.
+    /// The ids of all servers that were ever seen leaving.
     std::set<Base::ServerId> m_ended;
-    /// Of each server, by name, the latest start that was ever seen.
+    /// The latest start that was ever seen of each server, by the server's name.
     std::map<std::string, Base::Milliseconds> m_latestStarts;
     bool m_isKnown = false;
     bool m_isStoreAway = false;
