--- a/src/libs/routing/servercost.cpp
+++ b/src/libs/routing/servercost.cpp
@@ -7,33 +7,38 @@
 
 namespace {
 
-/// Assumed until the configuration tells the throughput of all servers: that of the slowest
-/// engine seen, about fifty tokens in a millisecond.
+/// The read rate that is assumed until the configuration gives the throughput of all servers. It is
+/// below that of the slowest known engine, which reads about fifty tokens in a millisecond.
 constexpr double defaultReadTokensPerMs = 40;
-/// Time that each running request adds to the first event of another: a step of the engine for
-/// each chunk of the prompt, which grows with what runs.
+/// The time that each running request adds to the first event of another one. The engine does a
+/// step for each chunk of the prompt, and the step's length grows with the number of running
+/// requests.
 constexpr double millisecondsPerRunning = 1;
-/// Work of a plain application takes about this long, so a place in its queue costs this much.
+/// The approximate time that a plain application takes for a request, and thus the cost of one
+/// place in its queue.
 constexpr double plainWorkMilliseconds = 30;
-/// Prompt tokens, as time, that a server may have before it. One long prompt takes up to 0.3 s;
-/// less would leave the server idle between the load reports of other hosts.
+/// The maximum of queued prompt reading at a server. One long prompt takes up to 0.3 s, and a lower
+/// limit would leave the server idle between the load reports of other hosts.
 constexpr double fullMilliseconds = 350;
-/// Part of an engine's slots that is used. Beyond it each more request slows all others.
+/// The share of an engine's slots that is used. Beyond it, each additional request slows down all
+/// others.
 constexpr double slotsUsed = 0.95;
-/// A plain application is given this many times its slots: a queue of its own of about two
-/// places each, so that it is not idle while an answer is on its way.
+/// A plain application gets this many times its slots. Its own queue then holds 1.5 requests for
+/// each slot, so that it is not idle while an answer is on its way.
 constexpr double plainSlotsUsed = 2.5;
-/// Room that is spare: reading ahead and running requests of a server that delays nobody's work.
+/// The limits of spare capacity for queued reading and for running requests. Below them, a server
+/// delays nobody's requests.
 constexpr double spareMilliseconds = 90;
 constexpr double spareSlots = 0.6;
-/// Tokens of a shared beginning that a server has to read although others keep it cost this many
-/// times their time: they also push out what others need, and delay what runs there.
+/// The cost of reading tokens that other servers have cached, as a multiple of the reading time.
+/// Reading them again also evicts cached tokens that others need, and delays the requests that run
+/// at the server.
 constexpr double rereadFactor = 2;
 
-/// A fetch before its first byte: a round trip between the servers, and a step of each engine in
-/// which it takes the order.
+/// The time from ordering a fetch to its first byte: a round trip between the servers, and a step
+/// of each engine in which it accepts the order.
 constexpr double fetchSetupMilliseconds = 12;
-/// Between zones the platform moves running memory half as fast.
+/// The platform transfers KV cache half as fast between zones.
 constexpr double otherZoneFactor = 2;
 
 } // namespace
--- a/src/libs/routing/servercost.h
+++ b/src/libs/routing/servercost.h
@@ -8,37 +8,38 @@
 
 namespace Routing {
 
-/// What a dispatcher must know of its service.
+/// The properties of a service that the dispatcher needs.
 struct ServiceTraits
 {
     bool isEngine = false;
-    /// Tokens that one server keeps; 0 for plain applications.
+    /// The number of tokens that one server can cache; 0 for plain applications.
     std::uint64_t memoryTokens = 0;
-    /// Prompt tokens that one server reads in a millisecond; 0 if not known.
+    /// The number of prompt tokens that one server reads in a millisecond; 0 if it is not known.
     double readTokensPerMs = 0;
-    /// Tokens a second that are shared out evenly among customers who ask for more than that; a
-    /// generated token counts twice. 0 for no such bound.
+    /// The tokens per second that are divided evenly among customers who ask for more than that. A
+    /// generated token counts as two. 0 means that there is no such limit.
     double sharedTokensPerSecond = 0;
-    /// Time in which the running memory of one token goes from one server to another; empty if
-    /// servers cannot fetch it.
+    /// The time in milliseconds to transfer the KV cache of one token from one server to another.
+    /// It is empty if servers cannot fetch from each other.
     std::optional<double> moveMsPerToken{};
 };
 
-/// How a server stands at the moment of a decision.
+/// The state of a server at the moment of a decision.
 struct ServerStanding
 {
     std::uint32_t slots = 1;
-    /// Of all hosts.
+    /// The load of all hosts together.
     ServerLoad load;
-    /// How many times longer than reckoned it took of late.
+    /// The recent ratio of the actual to the expected time to the first event; 1 means as expected.
     double slowness = 1;
 };
 
-/// What a request costs at a server, in milliseconds to its first event, and whether the server has
-/// room for it.
+/// Estimates the cost of a request at a server, in milliseconds to its first event, and decides
+/// whether the server has capacity for it.
 ///
-/// Load: servers take work in order of arrival, and one long prompt delays all that run beside it.
-/// So a server is kept only just full, and the rest waits where its order can still be changed.
+/// Servers run requests in order of arrival, and one long prompt delays all requests beside it.
+/// Therefore each server is kept only just full, and further requests wait at the hosts, where
+/// their order can still change.
 class ServerCost
 {
 public:
@@ -46,17 +47,18 @@
     void setTraits(const ServiceTraits &traits);
     const ServiceTraits &traits() const { return m_traits; }
 
-    /// From the send to the first event, for a request of which \a unreadTokens are not kept there.
+    /// Returns the estimated time in milliseconds from sending a request to its first event. \a
+    /// unreadTokens is the number of its prompt tokens that the server has not cached.
     double startMilliseconds(const ServerStanding &standing, std::uint32_t unreadTokens) const;
     bool hasRoom(const ServerStanding &standing, Admission admission) const;
-    /// Time that the server takes to read \a tokens.
+    /// Returns the time in milliseconds that the server takes to read \a tokens.
     double readMilliseconds(double tokens) const { return tokens / m_traits.readTokensPerMs; }
-    /// Milliseconds of the engines' time that are lost if a server reads \a rereadTokens although
-    /// other servers keep them.
+    /// Returns the engine time in milliseconds that is lost if a server reads \a rereadTokens
+    /// although other servers have them cached.
     double rereadMilliseconds(std::uint32_t rereadTokens) const;
 
-    /// From the request to a server until it has fetched \a tokens from another one. Infinite if
-    /// servers cannot fetch.
+    /// Returns the time in milliseconds from sending a request to a server until that server has
+    /// fetched \a tokens from another one. The result is infinite if servers cannot fetch.
     double fetchMilliseconds(std::uint32_t tokens, bool isOtherZone) const;
 
 private:
