--- a/src/libs/routing/customershares.cpp
+++ b/src/libs/routing/customershares.cpp
@@ -13,37 +13,40 @@
 
 using std::chrono::milliseconds;
 
-/// A customer asks for more than it gets if this many tokens, and this part of what it asked, are
-/// missing: about two large requests, so that one that was turned away by chance does not count.
+/// A customer counts as underserved if it lacks at least this many tokens and at least this share
+/// of what it asked for. This is about two large requests, so that a single refusal by chance does
+/// not count.
 constexpr double unmetTokens = 40000;
 constexpr double unmetPart = 0.15;
-/// Spare room is for customers that have received at most this many times what the customer with
-/// least has. Twice as much is felt as unfair; less than this would leave room unused while the
-/// reports of other hosts are on their way.
+/// Spare capacity is for customers that have received at most this many times as much as the least
+/// served customer. Customers perceive a ratio of two as unfair. A lower ratio would leave capacity
+/// unused while reports of other hosts are on their way.
 constexpr double evenRatio = 1.6;
-/// What customers are let in at, likewise. More, since who is let in at a rate gets somewhat less
-/// than that, and all would be held to less and less.
+/// The same ratio for the rates at which customers are admitted. It is higher because a customer
+/// that is admitted at a rate gets somewhat less than that rate, and all rates would shrink step by
+/// step.
 constexpr double rateRatio = 2;
-/// A customer whose demand jumps is behind it until its first events are there and hosts have told
-/// each other: with no fault of anybody's, and no reason to hold the others to what it had before.
+/// The time for which a customer must be underserved before it limits the others. A customer whose
+/// demand jumps is underserved until its first events have come and the hosts have exchanged
+/// reports. Nothing is wrong then, so the others are not held to its earlier amount.
 constexpr Base::Duration unmetTime = milliseconds(700);
-/// Part of its share that a customer has without a limit at each host: far below it, nothing has to
-/// be shared out, and a request that comes to a host for once is not held up.
+/// The part of its share up to which a host admits a customer without a limit. A customer far below
+/// its share needs no limit, and a request that comes to a host for once is not delayed.
 constexpr double freePart = 0.5;
-/// Age of what other hosts report: up to a fifth of a second until a report, and twice that where
-/// it goes through leaders.
+/// The age of the reports of other hosts: up to a fifth of a second until a report, and twice that
+/// where it passes through leaders.
 constexpr Base::Duration reportAge = milliseconds(400);
-/// Crowding at which what is let in is what servers began of late. Below it more is let in, which
-/// finds spare room within seconds; above it less, so that work of a customer whose demand jumps
-/// finds room.
+/// The saturation at which as much is admitted as servers recently began. Below it more is
+/// admitted, which fills spare capacity within seconds. Above it less is admitted, so that a
+/// customer whose demand jumps finds capacity.
 constexpr double crowdingTarget = 1.25;
 constexpr double growthGain = 0.6;
 constexpr double mostGrowth = 0.5;
 constexpr double mostCut = 0.3;
-/// The levels are reckoned anew this often; reports of other hosts come as often.
+/// The interval at which the levels are updated. Reports of other hosts come this often.
 constexpr Base::Duration updateInterval = milliseconds(100);
 
-/// Key of a meter that is not kept for each customer.
+/// The key of a sum that is not kept for each customer.
 const Base::CustomerId &allCustomers()
 {
     static const Base::CustomerId all;
@@ -102,7 +105,8 @@
         return Admission::Refused;
     if (has < share)
         return Admission::WithinShare;
-    // Compared like with like: by what it was sent, who lacks most would hold down itself.
+    // Both sides count tokens from the first event. If the customer were compared by the tokens
+    // sent for it, the least served customer would limit itself.
     return started(customer, now) < m_unmetLevel * evenRatio + unmetTokens
                ? Admission::SpareCapacity
                : Admission::Refused;
@@ -132,7 +136,7 @@
     const Base::Duration since =
         m_updatedAt == Base::TimePoint::min() ? updateInterval : now - m_updatedAt;
     m_updatedAt = now;
-    // A pause in what is asked for is no time in which anybody was served.
+    // A pause in the demand is not time in which anybody was served.
     m_askedSeconds.add(allCustomers(),
                        std::chrono::duration<double>(std::min(since, 2 * updateInterval)).count(),
                        now);
@@ -140,11 +144,11 @@
     if (m_others)
         asked = m_others->asked;
     m_asked.addTo(asked, now);
-    // The meters reach back some two seconds, but not beyond the beginning of the load. With the
-    // whole span as capacity from the first moment, two seconds' worth is let in at once, and
-    // everybody is turned away for the next two.
+    // The sums cover about two seconds, but no time before the load began. If the whole two seconds
+    // counted as capacity from the first moment, two seconds' worth of requests would be admitted
+    // at once, and everybody would be turned away for the next two seconds.
     const double seconds = askedSeconds(now);
-    // Servers that are lost or slow do less than the configuration tells.
+    // Servers that are lost or slow process less than the configured throughput.
     const double told = m_tokensPerSecond * seconds * (1 + std::min(growth(), 0.0));
     m_shareLevel = fairLevel(asked, told);
     m_unmetLevel = std::numeric_limits<double>::infinity();
@@ -199,7 +203,7 @@
         if (amount > level)
             rates[customer] = level / seconds * ownPart(customer);
     }
-    // Where nobody else asks, there is nothing to share out.
+    // A single customer has nobody to share the capacity with.
     if (asked.size() == 1)
         rates.clear();
     m_pacer.setRates(rates, now);
--- a/src/libs/routing/customershares.h
+++ b/src/libs/routing/customershares.h
@@ -11,72 +11,80 @@
 
 namespace Routing {
 
-/// What room a customer's request may have at the servers.
+/// The capacity that a customer's request may use. A customer within its max-min share gets
+/// WithinShare. Beyond it, a request gets SpareCapacity, or Refused if the customer exceeds its
+/// rate at this host or others have been served much less.
 enum class Admission {
-    WithinShare,   ///< Its customer is within its max-min share: any server that is not full.
-    SpareCapacity, ///< Beyond it: only servers that delay nobody's work.
-    Refused,       ///< Beyond it at this host, or others have been served much less.
+    WithinShare,   ///< The request may use any server that is not full.
+    SpareCapacity, ///< The request may only use servers on which it delays nobody.
+    Refused,       ///< The request may not use any server.
 };
 
-/// Decides how much of a model pool each customer may have.
+/// Decides how much of a model pool each customer may use.
 ///
-/// Load: a customer sends many times its usual, on some hosts or on all. The pool's throughput is
-/// shared out by max-min over the last two seconds and over the whole fleet: who has received less
-/// than the share is within it. What is spare beyond it goes to those who ask for more, but not to
-/// one that is far ahead of another one that asks for more too. So a flood does not delay the
-/// others, and leaves nothing idle.
+/// A customer may send many times its usual load, through some hosts or through all. The pool's
+/// throughput is divided by max-min fairness over the last two seconds and over the whole fleet. A
+/// customer that has received less than the resulting share is within it. Capacity that is then
+/// left over goes to customers who ask for more, but not to one that is far ahead of another one
+/// that also asks for more. A flood therefore does not delay other customers, and no capacity stays
+/// idle.
 ///
-/// The sums over the fleet are late by half a second, and all hosts see them change together. So
-/// they decide only how fast each host lets in a customer that asks for more than its level: the
-/// part of that level which the host has of what the customer asks for.
+/// The sums over the fleet are half a second old, and all hosts see them change at the same time.
+/// Therefore they only determine the rate at which each host admits a customer that asks for more
+/// than its level. The rate is a part of that level, in proportion to this host's part of the
+/// customer's demand.
 class CustomerShares
 {
 public:
-    /// Tokens a second that all servers produce, a generated one counted twice; 0 for no bound.
+    /// Sets the tokens per second that all servers process, where a generated token counts as two;
+    /// 0 for no limit.
     void setThroughput(double tokensPerSecond) { m_tokensPerSecond = tokensPerSecond; }
-    /// Mean over the servers that may get work now: 0 with spare room, 1 without, 2 without room
-    /// for anybody.
+    /// Sets the mean saturation of the servers that may get requests now. A server counts as 0 with
+    /// spare capacity, as 1 without, and as 2 if it is full for everybody.
     void setCrowding(double crowding) { m_crowding = crowding; }
-    /// Outlives this; changes with time.
+    /// Sets the load of the other hosts. It must outlive this object and may change.
     void setOthers(const OthersLoad &others) { m_others = &others; }
 
     void recordDemand(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
     void recordSent(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
-    /// A request was placed or may wait here; negative if it was not served after all.
+    /// Records that a request was placed or may wait here. \a tokens is negative for a request that
+    /// was recorded before and was not served after all.
     void recordLetIn(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
-    /// The first event of a request came.
+    /// Records that the first event of a request came.
     void recordStarted(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
     void report(HostLoad &load, Base::TimePoint now) const;
 
     Admission admission(const Base::CustomerId &customer, Base::TimePoint now);
-    /// Tokens sent to servers for the customer in the last seconds, by all hosts.
+    /// Returns the tokens of the customer that all hosts recently sent to servers.
     double received(const Base::CustomerId &customer, Base::TimePoint now) const;
-    /// Tokens of the last seconds that a customer may have received at most while others ask for
+    /// Returns the maximum of recent tokens that a customer may have received while others ask for
     /// more than they get.
     double shareLevel(Base::TimePoint now);
-    /// What the customer that has least, of those that lack service, was served of late; infinite
-    /// while nobody does. It bounds what others get.
+    /// Returns the recently served tokens of the least served customer among those that get less
+    /// than they ask for; infinite if there is none. This value limits what other customers get.
     double unmetLevel() const { return m_unmetLevel; }
 
 private:
-    /// Of what the customer received, that of which the first event came.
+    /// Returns the part of the customer's received tokens that belongs to requests whose first
+    /// event came.
     double started(const Base::CustomerId &customer, Base::TimePoint now) const;
-    /// Time in which something was asked for, fading as the meters do, of the host that knows
-    /// longest.
+    /// Returns the time in seconds in which anything was asked for, with the decay of the sums
+    /// below. Of all hosts, the one with the largest value counts.
     double askedSeconds(Base::TimePoint now) const;
     void updateLevels(Base::TimePoint now);
-    /// Part by which more is to be let in than servers began of late; below zero where they are
-    /// crowded.
+    /// Returns the relative difference between what is to be admitted and what servers recently
+    /// began. It is negative while the servers are saturated.
     double growth() const;
-    /// The level while nobody lacks service, and \a level then.
+    /// Returns the level up to which each customer is admitted: the max-min level of the whole
+    /// capacity, limited by the amount of the least served customer, but at least the share level.
     double spareLevel(const std::map<Base::CustomerId, double> &asked, double seconds,
                       Base::TimePoint now) const;
     void updateRates(const std::map<Base::CustomerId, double> &asked, double seconds,
                      Base::TimePoint now);
-    /// This host's part of what the customer asks for, 0 to 1.
+    /// Returns this host's part of the customer's demand, from 0 to 1.
     double ownPart(const Base::CustomerId &customer) const;
 
-    /// What this host was asked for at a moment.
+    /// What customers had asked for at this host at one moment.
     struct AskedThen
     {
         Base::TimePoint at;
@@ -89,17 +97,19 @@
     FadingMeter m_asked;
     FadingMeter m_received;
     FadingMeter m_begun;
-    /// Seconds, fading as the meters above do, in which something was asked for.
+    /// The time in seconds in which anything was asked for, with the decay of the sums above.
     FadingMeter m_askedSeconds;
     double m_shareLevel = 0;
-    /// As long ago as what the others report is old, so that the parts of all hosts add up.
+    /// The history of this host's demand. Its first entry is as old as the reports of the other
+    /// hosts, so that the parts of all hosts add up to one.
     std::deque<AskedThen> m_askedThen;
     CustomerPacer m_pacer;
-    /// What the customer that has least, of those that ask for more, was served: counted from the
-    /// first event, since a host that is behind sends work to servers and does not get to the
-    /// answers. Counted from the send, others took spare room beside a customer that got a third.
+    /// The served tokens of the least served customer among those that ask for more than they get.
+    /// Tokens count from the first event and not from sending: a host that is behind sends requests
+    /// to servers but does not process the answers in time. If tokens counted from sending, others
+    /// would take spare capacity while such a customer gets a third of what they get.
     double m_unmetLevel = 0;
-    /// Since when each customer that asks for more than it gets does so.
+    /// For each customer that asks for more than it gets, the time since which it does so.
     std::map<Base::CustomerId, Base::TimePoint> m_unmetSince;
     Base::TimePoint m_updatedAt = Base::TimePoint::min();
 };
