--- a/src/libs/routing/fairwaiting.h
+++ b/src/libs/routing/fairwaiting.h
@@ -10,22 +10,23 @@
 
 namespace Routing {
 
-/// Work that waits for a server, in an order that is fair among customers.
+/// Holds the requests that wait for a server, in an order that is fair among customers.
 ///
-/// Load: one customer sends many times its usual. In order of arrival its work would stand before
-/// everybody's; here the customer that has received least is next, so the flood waits behind
-/// itself. Within a customer, the more urgent class goes first, and then who must start first.
+/// In order of arrival, the requests of a customer that sends many times its usual load would be
+/// served before everybody else's. Here the customer that has received least is next, so a flood
+/// waits behind itself. Within a customer, requests with a more urgent priority go first, and then
+/// those that must start first.
 class FairWaiting
 {
 public:
-    /// Service that a customer has received of late, in the whole fleet.
+    /// Returns the service that a customer has recently received in the whole fleet.
     using Received = std::function<double(const Base::CustomerId &)>;
 
     void push(Work work);
-    /// The work that is next; empty if none waits.
+    /// Removes and returns the next request, or nothing if none waits.
     std::optional<Work> takeNext(const Received &received);
     bool remove(WorkId id);
-    /// Takes out all work for which \a isHopeless holds.
+    /// Removes and returns all requests for which \a predicate holds.
     std::vector<Work> takeIf(const std::function<bool(const Work &)> &isHopeless);
 
     std::size_t size() const { return m_size; }
