--- a/src/libs/routing/backlogwatch.cpp
+++ b/src/libs/routing/backlogwatch.cpp
@@ -9,26 +9,27 @@
 
 namespace {
 
-/// Weight of the newest stream in means: some dozens count.
+/// The weight of the latest stream in means, which thus cover some dozens of streams.
 constexpr double newest = 0.03;
-/// Part of the processor that a host which is far behind spends on streams. The other half goes to
-/// refusals, so that those who are turned away hear of it while they can still ask elsewhere.
+/// The share of the processor that a host which is far behind spends on streams. The rest goes to
+/// refusals, so that refused callers learn of it while they can still ask another host.
 constexpr double streamShare = 0.5;
-/// Credit that is kept at most, as time of refilling: streams that come together are taken
-/// together, and delay each other's events by no more than callers allow.
+/// The maximum credit, as the time in which it accrues. Streams that arrive together are admitted
+/// together, and delay each other's events by no more than callers accept.
 constexpr Base::Duration creditSpan = std::chrono::milliseconds(200);
-/// Debt at most, likewise: a host that has promised more than this before it fell behind still
-/// takes streams again within a second.
+/// The maximum debt, as the time in which it is paid off. A host that promised more than this
+/// before it fell behind still admits streams again within a second.
 constexpr Base::Duration debtSpan = std::chrono::milliseconds(600);
-/// Until streams have been forwarded, a token that a caller allows is reckoned as this many events:
-/// callers allow four times what is generated, and an event holds some five tokens.
+/// The assumed number of events for each token that a caller allows, until streams have been
+/// forwarded. Callers allow four times what is generated, and an event holds about five tokens.
 constexpr double presumedEventsPerToken = 0.05;
-/// Tokens that the presumption weighs: those of some twenty streams.
+/// The number of tokens with which the assumption is weighted: those of about twenty streams.
 constexpr double presumedTokens = 10000;
 constexpr double milliCoresOfCore = 1000;
-/// Part of its level up to which any stream of a customer is taken.
+/// The share of its level up to which a customer gets any stream admitted.
 constexpr double anyStreamPart = 0.5;
-/// The level is reckoned anew this often: with each stream it would cost more than a refusal.
+/// The interval at which the levels are updated. Updating them with each stream would cost more
+/// than a refusal.
 constexpr Base::Duration levelInterval = std::chrono::milliseconds(100);
 
 Base::Duration part(Base::Duration span, double share)
@@ -41,7 +42,7 @@
     return std::chrono::duration<double, std::micro>(span).count();
 }
 
-/// Whether \a density is that of a stream that serves much; \a usual is the mean and learns it.
+/// Adds \a density to \a mean, and returns whether it is at least as high as the new mean.
 bool servesMuch(double density, double &usual)
 {
     usual += (density - usual) * newest;
--- a/src/libs/routing/backlogwatch.h
+++ b/src/libs/routing/backlogwatch.h
@@ -11,60 +11,62 @@
 
 namespace Routing {
 
-/// Decides which streams a host takes that is behind with its own work.
+/// Decides which streams a host admits that is behind with its own work.
 ///
-/// Load: callers that stay with one small host bring it several times what its processor can
-/// forward. Taken in, each further stream delays the events of all, until callers leave streams
-/// that their servers have finished, and new callers are not even accepted. A host is behind while
-/// it has not been idle for a moment in some time.
+/// Callers that stay with one small host may send it several times what its processor can forward.
+/// If all streams were admitted, each further one would delay the events of all others, until
+/// callers abandon streams that their servers have finished, and new connections are not even
+/// accepted. A host counts as behind if it has not been idle for a certain time.
 ///
-/// Then each customer has its max-min part of the processor. Of a customer's streams it takes those
-/// that serve most for what forwarding them costs: that cost grows with the events, and so with the
-/// generated tokens, while most of what a customer is served is the prompt that is read for it.
-/// Compared over all customers, one with short prompts and long answers would always be the one
-/// that is passed over.
+/// Each customer then gets its max-min share of the processor. Of a customer's streams, the host
+/// admits those with the highest ratio of service to forwarding cost. The cost grows with the
+/// number of events, and thus with the generated tokens, while most of the service is reading the
+/// prompt. The ratio is compared within one customer: compared over all customers, streams with
+/// short prompts and long answers would always be refused.
 ///
-/// If it falls further behind, only half of its processor is shared out so. Up to half of its part
-/// any stream of a customer is taken, so that none gets nothing because few of its streams are
-/// large.
-/// Taking none would not let it catch up: where the refusals alone fill the processor, the backlog
-/// never ends, and a customer whose callers all stay with this host would get nothing for as long
-/// as its load lasts. Plain requests cost no more than their refusal.
+/// If the host falls further behind, it gives only half of its processor to streams. Up to half of
+/// its share, a customer then gets any stream admitted, so that it is not left without service
+/// because few of its streams are large. Admitting none would not let the host catch up: where the
+/// refusals alone use the whole processor, the backlog never ends, and a customer whose callers all
+/// stay with this host would get nothing as long as the load lasts. Plain requests are always
+/// admitted, since they cost no more than their refusal.
 class BacklogWatch
 {
 public:
-    /// \a capacity is what this process may use of the host's processor.
+    /// \a capacity is the part of the host's processor that this process may use.
     explicit BacklogWatch(MilliCores capacity)
         : m_capacity(capacity)
         , m_cost(capacity)
     {}
 
-    /// Nothing was left to do at \a now.
+    /// Records that no work was left at \a now.
     void noteIdle(Base::TimePoint now);
-    /// Events of streams were forwarded.
+    /// Records that events of streams were forwarded.
     void noteEvents(std::size_t count);
-    /// Work that no stream is part of: a plain request, and one that was turned away otherwise.
+    /// Records work outside of streams: a plain request, or a request that was refused elsewhere.
     void noteRequest(Base::TimePoint now);
     void noteRefusal(Base::TimePoint now);
-    /// How many times longer than reckoned this host's work takes.
+    /// Returns the ratio of the actual to the estimated cost of this host's work.
     double costFactor() const { return m_cost.factor(); }
-    /// Whether there has been no pause for a moment: not yet behind, but nothing to spare.
+    /// Returns whether the host has not been idle recently: it is not behind yet, but has no
+    /// capacity to spare.
     bool isBusy(Base::TimePoint now) const { return now - m_idleAt >= busyAfter; }
-    /// Whether a stream that has just come in is taken.
+    /// Decides whether to admit a new stream, and records the decision.
     bool takesStream(const Work &work, Base::TimePoint now);
-    /// A stream that was taken is not sent anywhere, for another reason: it takes no more than a
-    /// refusal.
+    /// Cancels the admission of a stream that is not sent anywhere for another reason. The stream
+    /// then costs no more than a refusal.
     void giveBack(const Work &work, Base::TimePoint now);
 
 private:
-    /// A streamed event is to be passed on within 120 ms where callers are strictest; work that
-    /// came at one moment is done within that time on a host that keeps up.
+    /// An event must be forwarded within 120 ms for the strictest callers. A host that keeps up
+    /// completes work that arrived at one moment within that time.
     static constexpr Base::Duration busyAfter = std::chrono::milliseconds(60);
+    /// The times without an idle moment after which the host counts as behind and as far behind.
     static constexpr Base::Duration choosyAfter = std::chrono::milliseconds(150);
     static constexpr Base::Duration rationedAfter = std::chrono::milliseconds(500);
 
     void updateLevels(Base::TimePoint now);
-    /// Processor time that forwarding the stream will take, as reckoned.
+    /// Returns the estimated processor time for forwarding the stream.
     Base::Duration expectedCost(const Work &work) const;
     void refill(Base::TimePoint now);
     void charge(const Work &work);
@@ -72,21 +74,24 @@
     MilliCores m_capacity;
     CostObserver m_cost;
     Base::TimePoint m_idleAt{};
-    /// Prompt tokens for each generated one, mean of the streams of each customer that came in.
+    /// The mean ratio of prompt tokens to generated tokens over the streams that each customer
+    /// requested.
     std::map<Base::CustomerId, double> m_usualDensities;
-    /// Processor time, in microseconds, of the streams of each customer that came in, and of those
-    /// that were taken.
+    /// The processor time in microseconds of the streams that each customer requested, and of those
+    /// that were admitted.
     FadingMeter m_asked;
     FadingMeter m_taken;
-    /// What a customer may have taken of the last seconds on a host that is behind, and on one that
-    /// is far behind.
+    /// The limits for the recently admitted processor time of one customer, on a host that is
+    /// behind and on one that is far behind.
     double m_choosyLevel = 0;
     double m_rationedLevel = 0;
     Base::TimePoint m_levelAt = Base::TimePoint::min();
-    /// Processor time that may still be promised to streams; below zero while too much is.
+    /// The processor time that may still be promised to streams. It is negative while too much is
+    /// promised.
     Base::Duration m_credit{};
     Base::TimePoint m_refilledAt{};
-    /// Of the last streams taken: tokens that they were allowed, and events that were forwarded.
+    /// The tokens that the recently admitted streams were allowed to generate, and the events that
+    /// were forwarded.
     double m_allowedTokens = 0;
     double m_events = 0;
 };
