--- a/src/libs/routing/retryshare.cpp
+++ b/src/libs/routing/retryshare.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-/// Parts that a window is cut into: an old repeat is forgotten at most a twentieth late.
+/// The number of slices of a window. A retry leaves the count at most a twentieth of the window
+/// late.
 constexpr int slicesInWindow = 20;
-/// Part of the ratio that is used. Requests are counted where they arrive, repeats a little
-/// later; a falling load would else overrun the share.
+/// The part of the ratio that is used. Requests count when they arrive and retries a little later,
+/// so a falling load would otherwise exceed the share.
 constexpr double ratioUsed = 0.75;
-/// Part of the slack that is used: a restarted host starts with a whole share again, and a
-/// window can hold the repeats of two starts.
+/// The part of the slack that is used. A restarted host begins with a full share again, and a
+/// window can contain the retries of two starts.
 constexpr double slackUsed = 0.45;
 
 } // namespace
--- a/src/libs/routing/retryshare.h
+++ b/src/libs/routing/retryshare.h
@@ -7,23 +7,24 @@
 
 namespace Routing {
 
-/// What the whole fleet may send again of one service's requests.
+/// The limit on retries of one service's requests in the whole fleet.
 struct RetryAllowance
 {
-    /// Repeats for each request, as a share.
+    /// The number of retries allowed for each request.
     double ratio = 0.2;
-    /// Repeats beyond the ratio, of all hosts together.
+    /// The number of retries allowed beyond the ratio, for all hosts together.
     double slack = 50;
-    /// Any span of this length counts.
+    /// The limit holds for any time span of this length.
     Base::Duration window = std::chrono::seconds(10);
 };
 
 /// This host's share of the fleet's retry budget for one service.
 ///
-/// Load: many servers fail at once, and every host sends each request again. Without a bound the
-/// repeats double the work of the servers that are left, which fail in turn. The bound is the
-/// fleet's, so a host uses its own requests times the ratio and an even part of the slack,
-/// without asking the others. Margins keep the sum below the bound when hosts come and go.
+/// If many servers fail at once, every host retries its requests. Without a limit, the retries
+/// would double the load of the remaining servers, which would then fail too. The limit applies to
+/// the whole fleet. Each host uses its own requests multiplied by the ratio, and an even part of
+/// the slack, without asking the others. Safety margins keep the sum below the limit when hosts
+/// join and leave.
 class RetryShare
 {
 public:
@@ -33,7 +34,8 @@
 
     void setAllowance(const RetryAllowance &allowance) { m_allowance = allowance; }
     void recordRequest(Base::TimePoint now);
-    /// Takes one repeat out of the share if it has one; \a hosts is the number of live hosts.
+    /// Takes one retry from the share and returns true, or returns false if the share is used up.
+    /// \a hosts is the number of live hosts.
     bool take(std::size_t hosts, Base::TimePoint now);
 
 private:
