--- a/src/libs/routing/customerpacer.cpp
+++ b/src/libs/routing/customerpacer.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-/// Credit that is kept at most, as time: callers come unevenly, and a host that keeps less gives
-/// its customers less than their rate.
+/// The maximum credit, as the time in which it accrues. Callers arrive unevenly, and a host with
+/// less credit would give its customers less than their rate.
 constexpr Base::Duration creditSpan = std::chrono::milliseconds(700);
-/// Debt at most: what was let in before the level was known is not held against a customer for
-/// longer than others need to come up to it.
+/// The maximum debt, as the time in which it is paid off. Requests that were admitted before the
+/// level was known count against a customer for no longer than others need to reach its amount.
 constexpr Base::Duration debtSpan = std::chrono::seconds(1);
-/// What a customer begins with: all hosts begin with it at once.
+/// The initial credit of a customer, as the time in which it accrues. All hosts grant it at the
+/// same time.
 constexpr Base::Duration firstCreditSpan = std::chrono::milliseconds(250);
 
 double seconds(Base::Duration span)
@@ -54,7 +55,7 @@
     if (it == m_allowances.end())
         return;
     Allowance &allowance = it->second;
-    // One request may be larger than the debt that is kept; it is paid for whole.
+    // One request may be larger than the maximum debt; it is charged completely.
     const double most = std::max(tokens, allowance.tokensPerSecond * seconds(debtSpan));
     allowance.credit = std::max(creditAt(allowance, now) - tokens, -most);
     allowance.at = now;
--- a/src/libs/routing/customerpacer.h
+++ b/src/libs/routing/customerpacer.h
@@ -7,21 +7,22 @@
 
 namespace Routing {
 
-/// Bounds how fast this host lets in the work of each customer.
+/// Limits the rate at which this host admits the requests of each customer.
 ///
-/// Load: a customer asks for far more than its share at dozens of hosts. What one host lets in
-/// shows at the others only half a second later, so hosts that each let in whatever fits the
-/// fleet's sums give away several seconds' worth at once, and nothing for seconds afterwards;
-/// everybody's work starts late behind it. Let in at a rate of its own, each host needs no news
-/// from the others: the rates of all hosts add up to the customer's level.
+/// A customer may ask for far more than its share at dozens of hosts. What one host admits is
+/// visible to the others only half a second later. Hosts that admit whatever fits the fleet's sums
+/// would therefore admit several seconds' worth at once and nothing for the following seconds, and
+/// everybody's requests would start late behind it. With a rate of its own, no host depends on
+/// reports of the others: the rates of all hosts add up to the customer's level.
 class CustomerPacer
 {
 public:
-    /// Tokens a second of each customer that is bounded; replaces all rates before.
+    /// Sets the rates in tokens per second of all customers that are limited. Customers without a
+    /// rate are not limited. The rates replace all earlier ones.
     void setRates(const std::map<Base::CustomerId, double> &rates, Base::TimePoint now);
     bool mayPass(const Base::CustomerId &customer, Base::TimePoint now) const;
-    /// Work of \a tokens was let in. It may take more than is left, so that large work is not
-    /// passed over; what follows waits for longer.
+    /// Charges an admitted request of \a tokens. The charge may exceed the remaining credit, so
+    /// that large requests are not starved; later requests then wait longer.
     void charge(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
 
 private:
