--- a/src/libs/routing/entryselection.cpp
+++ b/src/libs/routing/entryselection.cpp
@@ -10,15 +10,17 @@
 
 namespace {
 
-/// Hosts that are always named, if there are as many: the loss of one touches an eighth of the
-/// callers at most.
+/// The minimum number of listed hosts, if there are as many. The loss of one then affects at most
+/// an eighth of the callers.
 constexpr std::size_t leastEntries = 8;
-/// Hosts of each availability zone that are named before any stronger one of another zone.
+/// The number of hosts of each availability zone that are listed before any stronger host of
+/// another zone.
 constexpr std::size_t leastOfZone = 2;
-/// Capacity of the named hosts over the load: a burst of 1.7 times the load while half of them
-/// are lost still leaves them below their capacity.
+/// The ratio of the capacity of the listed hosts to the load. If half of them are lost in a burst
+/// of 1.7 times the load, the remaining ones still have enough capacity.
 constexpr double headroom = 3.5;
-/// The need halves in this time when the load falls. Callers keep a list for some seconds.
+/// The time in which the required capacity halves when the load falls. Callers keep a list for some
+/// seconds.
 constexpr Base::Duration needHalfLife = std::chrono::seconds(8);
 
 struct Ranked
--- a/src/libs/routing/entryselection.h
+++ b/src/libs/routing/entryselection.h
@@ -12,36 +12,37 @@
 /// Thousandths of a processor core.
 using MilliCores = std::uint32_t;
 
-/// A host that takes requests, as far as the choice of entries goes.
+/// A host that accepts requests, with the values that decide whether callers are told to use it.
 struct EntryHost
 {
     Base::HostId host;
     Base::ZoneId zone;
-    /// "IP:PORT" for callers.
+    /// The address for callers, as "IP:PORT".
     std::string address;
     MilliCores capacity = 1000;
-    /// What the requests that it forwards take.
+    /// The processor time that the requests forwarded by the host take.
     MilliCores load = 0;
 };
 
-/// Chooses the hosts that callers are told to use: the strongest ones, as many as the load needs.
+/// Selects the entry hosts. These are the hosts that callers are told to use: the strongest ones,
+/// as many as the load needs.
 ///
-/// Load: a fleet of many small hosts and a few strong ones. If all of them take requests, each one
-/// has connections to every server that rest until the server closes them, decides with reports of
-/// sixty others that are half a second old, and a small one falls behind in a burst. The strong
-/// hosts alone have room for several times the load, decide for more of it themselves, and use
-/// their connections again and again. The others stand by: they are named as soon as the load
-/// grows or strong hosts are lost.
+/// A fleet may have many small hosts and a few strong ones. If all of them accepted requests, each
+/// would hold connections to every server that stay idle until the server closes them, would decide
+/// with reports of sixty others that are half a second old, and a small host would fall behind in a
+/// burst. The strong hosts alone have capacity for several times the load, make a larger part of
+/// the decisions themselves, and reuse their connections. The other hosts are in reserve: they are
+/// listed as soon as the load grows or strong hosts are lost.
 ///
-/// Some hosts of each availability zone are named whatever their strength, so that the loss of a
-/// zone leaves entries. The need falls slowly, so that callers keep their connections when the
-/// load swings.
+/// Some hosts of each availability zone are always listed, so that entry hosts remain if a zone is
+/// lost. The required capacity falls slowly, so that callers keep their connections when the load
+/// varies.
 class EntrySelection
 {
 public:
-    /// \a hosts are those that may be named now, in any order.
+    /// Updates the selection. \a hosts are all hosts that may be listed now, in any order.
     void update(std::vector<EntryHost> hosts, Base::TimePoint now);
-    /// In the order of preference.
+    /// Returns the selected hosts in the order of preference.
     const std::vector<EntryHost> &chosen() const { return m_chosen; }
     bool isChosen(const Base::HostId &host) const;
 
