--- a/src/libs/routing/serverhealth.cpp
+++ b/src/libs/routing/serverhealth.cpp
@@ -7,17 +7,20 @@
 
 namespace {
 
-/// Weight of the newest outcome. A server that fails half of its requests shows after four.
+/// The weight of the latest outcome in the failure share. A server that fails half of its requests
+/// is detected after about four of them.
 constexpr double newestFailure = 0.2;
-/// Weight of the newest time to first event. Times vary by a factor of two with what runs beside.
+/// The weight of the latest time to the first event. These times vary by a factor of two with the
+/// other requests that run.
 constexpr double newestTime = 0.15;
-/// A slow or failing server is tried again by half after this long without news.
+/// The time without news after which the cost of a slow or failing server has halved, so that it is
+/// tried again.
 constexpr Base::Duration halfLife = std::chrono::seconds(3);
-/// First pause after a server could not be reached, and the longest. A restart takes some seconds;
-/// a connection that was refused under load is to be tried again at once.
+/// The first cooldown after a server could not be reached, and the longest one. A restart takes
+/// some seconds, but a connection that was refused under load should be tried again soon.
 constexpr Base::Duration firstPause = std::chrono::milliseconds(300);
 constexpr Base::Duration longestPause = std::chrono::seconds(2);
-/// Pause after the server said that it is full: about as long as one of its requests runs.
+/// The cooldown after a server answered that it is full: about as long as one of its requests runs.
 constexpr Base::Duration fullPause = std::chrono::milliseconds(60);
 constexpr double leastSlowness = 0.5;
 constexpr double mostSlowness = 20;
--- a/src/libs/routing/serverhealth.h
+++ b/src/libs/routing/serverhealth.h
@@ -5,25 +5,28 @@
 
 namespace Routing {
 
-/// What recent answers say of one server: whether to use it, and how much worse it is than others.
+/// Rates one server by its recent answers: whether it may be used, and how much worse it is than
+/// others.
 ///
-/// Load: a server crashes, hangs, or fails part of its requests while its health check is good.
-/// Checks tell late or nothing; answers tell at once. A server that cannot be reached is left
-/// alone for a pause that doubles; one that fails often is not shut out but made dear, so that
-/// it gets the little work that shows when it is well again.
+/// A server may crash, hang, or fail a part of its requests while its health check passes. Health
+/// checks detect this late or never, but answers show it at once. A server that cannot be reached
+/// is not used for a cooldown that doubles each time. A server that fails often is still used, but
+/// at a higher cost, so that it gets the few requests that show when it has recovered.
 class ServerHealth
 {
 public:
     void record(AttemptOutcome outcome, Base::TimePoint now);
-    /// The first event came after \a took where \a expected was reckoned.
+    /// Records that the first event came \a took after sending, where \a expected was estimated.
     void recordStart(Base::Duration took, Base::Duration expected, Base::TimePoint now);
 
-    /// False while the server is left alone.
+    /// Returns false during a cooldown.
     bool isUsable(Base::TimePoint now) const { return now >= m_usableAt; }
     Base::TimePoint usableAt() const { return m_usableAt; }
-    /// Share of recent attempts that failed, 0 to 1; fades while nothing is heard.
+    /// Returns the share of recent attempts that failed, from 0 to 1. It decays while there are no
+    /// new outcomes.
     double failureShare(Base::TimePoint now) const;
-    /// How many times longer than reckoned the server takes, at least 0.5.
+    /// Returns the recent ratio of the actual to the expected time to the first event. It is at
+    /// least 0.5.
     double slowness(Base::TimePoint now) const;
 
 private:
