--- a/src/libs/routing/promptcache.cpp
+++ b/src/libs/routing/promptcache.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-/// How long a part counts as kept after its last use.
+/// The time for which a part counts as cached after its last use.
 constexpr Base::Duration keptFor = std::chrono::seconds(12);
 
-/// A third of that: a lost report or two do not make the others forget a part that is in use.
+/// A third of the lifetime: if a report or two are lost, the other hosts still know of a part that
+/// is in use.
 constexpr Base::Duration tellInterval = std::chrono::seconds(4);
 
 } // namespace
--- a/src/libs/routing/promptcache.h
+++ b/src/libs/routing/promptcache.h
@@ -9,35 +9,39 @@
 
 namespace Routing {
 
-/// The chain of a prompt's parts: each hash stands for the part and all parts before it, since a
-/// part is of use to a server only behind the same beginning.
+/// The hash of a prefix of a prompt. It covers a part and all parts before it, because a cached
+/// part is only of use to a server behind the same beginning.
 struct ChainLink
 {
     std::uint64_t hash = 0;
-    /// Tokens from the start of the prompt to the end of this part.
+    /// The number of tokens from the start of the prompt to the end of this prefix.
     std::uint32_t tokensSoFar = 0;
 };
 std::vector<ChainLink> chainOf(const std::vector<PromptPart> &parts);
-/// The links that other requests may share: all but the last, which is the request's own.
+/// Returns the prefixes that other requests may share. These are all but the longest, whose last
+/// part belongs to the request alone.
 std::vector<ChainLink> sharedChainOf(const std::vector<PromptPart> &parts);
 
-/// What one model server is believed to keep of shared prompt parts, from what all hosts sent to
-/// it.
+/// Models which shared prompt parts one model server has cached, from what all hosts sent to it.
 ///
-/// The server drops what was used least recently when its memory runs out. How soon that is
-/// depends on work that is not seen from here, so a part counts as kept for a fixed time after its
-/// last use: requests of their own fill a busy server's memory in ten seconds and more.
+/// The server evicts the least recently used parts when its memory is full. How soon that happens
+/// depends on requests that this host does not see, so a part counts as cached for a fixed time
+/// after its last use. The prompts of single requests fill the memory of a busy server in ten
+/// seconds or more.
 class PromptCache
 {
 public:
-    /// Tokens of \a chain that need not be read again.
+    /// Returns the number of tokens of the longest prefix that the server need not read again.
     std::uint32_t keptTokens(const std::vector<ChainLink> &chain, Base::TimePoint now) const;
-    /// Of these, what it has read by now and can hand out.
+    /// Returns the number of those tokens that the server has read by now, so that others can fetch
+    /// them.
     std::uint32_t readTokens(const std::vector<ChainLink> &chain, Base::TimePoint now) const;
-    /// A prompt with the part was sent to the server, which will have read it by \a readBy.
+    /// Records that a prompt with the prefix was sent to the server, which will have read it by \a
+    /// readBy.
     void use(std::uint64_t hash, Base::TimePoint now, Base::TimePoint readBy);
-    /// Whether the other hosts should be told of a use: they do not know of the part, or will soon
-    /// take it for dropped. Answers yes once.
+    /// Returns whether a use should be reported to the other hosts, because they do not know of the
+    /// prefix or will soon consider it evicted. The use then counts as reported, so the next call
+    /// returns false.
     bool isNews(std::uint64_t hash, Base::TimePoint now);
     void forgetOld(Base::TimePoint now);
     void clear();
