--- a/src/libs/routing/prefixfetch.cpp
+++ b/src/libs/routing/prefixfetch.cpp
@@ -19,8 +19,8 @@
 PrefixFetch::PrefixFetch(const ServerCost &cost, std::vector<PrefixKeeper> keepers)
     : m_cost(&cost)
 {
-    // A large pool has tens of keepers, and each decision looks at all servers for each of them:
-    // one a zone is enough.
+    // A large pool has tens of sources, and each decision looks at all servers for each of them.
+    // One source per zone is enough.
     for (PrefixKeeper &keeper : keepers) {
         const auto sameZone = std::find_if(m_keepers.begin(), m_keepers.end(),
                                            [&](const auto &it) { return it.zone == keeper.zone; });
--- a/src/libs/routing/prefixfetch.h
+++ b/src/libs/routing/prefixfetch.h
@@ -9,47 +9,48 @@
 
 namespace Routing {
 
-/// A server that has read a prompt's beginning and keeps it.
+/// A server that has read a prompt's beginning and has it cached.
 struct PrefixKeeper
 {
     Base::ServerId server;
     Base::ZoneId zone;
-    /// Tokens of the beginning that it can hand out now.
+    /// The number of tokens of the beginning that others can fetch from it now.
     std::uint32_t tokens = 0;
-    /// What it is to hand out before, as time.
+    /// The time in milliseconds for the transfers that are queued at the server.
     double busyMilliseconds = 0;
 };
 
-/// That a server fetches a prompt's beginning from another one instead of reading it.
+/// The plan that a server fetches a prompt's beginning from another server instead of reading it.
 struct FetchPlan
 {
     Base::ServerId from;
-    /// Tokens that are fetched beyond those that the server keeps itself.
+    /// The number of tokens to fetch beyond those that the server has cached itself.
     std::uint32_t tokens = 0;
-    /// Until they are there.
+    /// The time in milliseconds until the tokens have arrived.
     double milliseconds = 0;
 };
 
-/// Decides from where a server fetches the beginning of a prompt that others keep, and whether that
-/// pays.
+/// Decides from which server another one fetches the beginning of a prompt, and whether fetching is
+/// worth it.
 ///
-/// Load: a few beginnings make up most of the load, so the servers that keep one are crowded while
-/// others have room, and those read it again: up to a sixth of all tokens read. Fetching costs a
-/// round trip and the bytes of the running memory over the servers' links, both of which the
-/// configuration tells, so nothing is assumed of a deployment: where links are slow or memory is
-/// large, reading remains.
+/// A few beginnings make up most of the load, so the servers that have one cached are busy while
+/// others are idle and read it again; this was up to a sixth of all tokens read. A fetch costs a
+/// round trip and the transfer of the KV cache over the servers' links. The configuration gives
+/// both, so nothing is assumed about a deployment: where links are slow or the KV cache is large,
+/// servers read the beginning instead.
 class PrefixFetch
 {
 public:
     PrefixFetch(const ServerCost &cost, std::vector<PrefixKeeper> keepers);
 
-    /// For a server in \a zone that keeps \a keptTokens itself; empty if reading is cheaper.
+    /// Returns the best fetch for \a server in \a zone that has \a cachedTokens itself, or nothing
+    /// if reading is cheaper.
     std::optional<FetchPlan> plan(const Base::ServerId &server, const Base::ZoneId &zone,
                                   std::uint32_t keptTokens) const;
 
 private:
     const ServerCost *m_cost;
-    /// The best of each zone.
+    /// The best source of each zone.
     std::vector<PrefixKeeper> m_keepers;
 };
 
