--- a/src/libs/routing/work.h
+++ b/src/libs/routing/work.h
@@ -8,10 +8,10 @@
 
 namespace Routing {
 
-/// Names one request that waits or runs; unique within one start of this host.
+/// The identifier of a request that waits or runs. It is unique within one start of this host.
 using WorkId = std::uint64_t;
 
-/// A part of a prompt that other requests may begin with too.
+/// A part of a prompt. Other requests may begin with the same parts.
 struct PromptPart
 {
     std::uint64_t hash = 0;
@@ -20,69 +20,73 @@
     bool operator==(const PromptPart &) const = default;
 };
 
-/// What the decisions need to know of a request.
+/// The properties of a request on which routing decisions depend.
 struct Work
 {
     WorkId id = 0;
     Base::CustomerId customer;
-    /// 0 is the most urgent.
+    /// 0 is the most urgent priority.
     std::uint32_t priority = 0;
     Base::TimePoint arrivedAt;
-    /// An answer that starts by then is on time.
+    /// An answer whose first event arrives by this time is on time.
     Base::TimePoint startBy;
-    /// After it an answer is of no use.
+    /// An answer that comes after this time is of no use to the caller.
     Base::TimePoint giveUpAt;
-    /// 0 for plain applications.
+    /// The number of tokens in the prompt; 0 for plain applications.
     std::uint32_t promptTokens = 0;
-    /// Most tokens that may be generated.
+    /// The maximum number of tokens that the server may generate.
     std::uint32_t outputTokens = 0;
-    /// In the prompt's order; the last one belongs to this request alone.
+    /// The parts in the order in which they stand in the prompt. The last one belongs to this
+    /// request alone.
     std::vector<PromptPart> parts;
-    /// Servers that failed this request; others are preferred.
+    /// The servers at which earlier attempts of this request failed. Other servers are preferred.
     std::vector<Base::ServerId> tried;
 };
 
-/// What decided for a server, for the log.
+/// The values on which the choice of a server was based. They are written to the log.
 struct PlacementInputs
 {
-    /// Prompt tokens that the server has to read for this work, as reckoned.
+    /// The estimated number of prompt tokens that the server has to read for this request.
     std::uint32_t unreadTokens = 0;
-    /// Prompt tokens that it fetches from another server.
+    /// The number of prompt tokens that the server fetches from another server.
     std::uint32_t fetchedTokens = 0;
-    /// Prompt tokens that it was given before and has not read, by all hosts.
+    /// The estimated number of prompt tokens that all hosts sent to the server earlier and that it
+    /// has not read yet.
     std::uint32_t tokensAhead = 0;
-    /// Requests that run there, of all hosts.
+    /// The number of requests of all hosts that run at the server.
     std::uint32_t running = 0;
-    /// How many times longer than reckoned it took of late.
+    /// The recent ratio of the actual to the expected time to the first event; 1 means as expected.
     double slowness = 1;
     double failureShare = 0;
 };
 
-/// Work goes to this server now.
+/// The decision to send a request to a server now.
 struct Placement
 {
     WorkId work = 0;
     Base::ServerId server;
     PlacementInputs inputs;
-    /// The server that it is to fetch the prompt's beginning from; empty if it reads all itself.
+    /// The server from which \a server is to fetch the beginning of the prompt. It is empty if \a
+    /// server reads the whole prompt itself.
     Base::ServerId fetchFrom;
 };
 
 enum class TurnedAwayReason {
     NoServer,    ///< No server of the service is known.
-    TooLate,     ///< It could not start in time behind what waits.
-    Crowded,     ///< More waits than this host keeps.
-    BeyondShare, ///< The customer has its share, and there is no spare room.
+    TooLate,     ///< The request could not start in time behind the requests that wait already.
+    Crowded,     ///< The number of waiting requests has reached this host's limit.
+    BeyondShare, ///< The customer has received its share, and there is no spare capacity.
 };
 
-/// Work that is not served now. It has not run.
+/// The decision to refuse a request for now. The request has not run.
 struct TurnedAway
 {
     WorkId work = 0;
     TurnedAwayReason reason = TurnedAwayReason::TooLate;
-    /// When room for it is expected.
+    /// The time after which capacity is expected to be free.
     Base::Milliseconds retryAfter{0};
-    /// For the log: what its customer received of late, and the share level, in tokens.
+    /// What the customer received recently and the share level, in tokens. Both are written to the
+    /// log.
     double received = 0;
     double shareLevel = 0;
 };
@@ -95,22 +99,23 @@
     std::vector<TurnedAway> turnedAway;
 };
 
-/// How an attempt at a server ended.
+/// The way in which an attempt at a server ended.
 enum class AttemptOutcome {
     Served,
-    /// The server answered that it failed.
+    /// The server answered with an error of its own.
     ServerError,
-    /// The server answered that it has no room and did not run the request.
+    /// The server answered that it has no capacity and did not run the request.
     NoRoom,
-    /// Another server has the address.
+    /// Another server now has the address.
     WrongServer,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// The connection broke, or what came was no answer.
+    /// The connection broke, or the data that arrived was not a valid answer.
     Broken,
-    /// Nothing came for too long.
+    /// No data arrived within the timeout.
     Silent,
-    /// The caller left, or the attempt was ended from here for no fault of the server.
+    /// The caller disconnected, or this host ended the attempt for a reason other than a fault of
+    /// the server.
     Withdrawn,
 };
 
