--- a/src/libs/routing/fleetload.h
+++ b/src/libs/routing/fleetload.h
@@ -9,11 +9,12 @@
 
 namespace Routing {
 
-/// Work that one host has at one server.
+/// The load that one host puts on one server.
 struct ServerLoad
 {
     std::uint32_t running = 0;
-    /// Prompt tokens given to the server that it has not read yet, as reckoned.
+    /// The estimated number of prompt tokens that were sent to the server and that it has not read
+    /// yet.
     std::uint32_t unreadTokens = 0;
 
     bool operator==(const ServerLoad &) const = default;
@@ -23,33 +24,34 @@
 struct PartUse
 {
     Base::ServerId server;
-    /// Of the chain up to the part (ChainLink).
+    /// The hash of the prompt's prefix up to and including the part (PrefixHash).
     std::uint64_t hash = 0;
 
     bool operator==(const PartUse &) const = default;
 };
 
-/// What one host tells the others of its work. A newer one replaces an older one whole.
+/// The load report that one host sends to the others. A newer report replaces the whole older one.
 struct HostLoad
 {
     std::map<Base::ServerId, ServerLoad> servers;
-    /// Tokens asked for and received by each customer through this host of late, fading
-    /// (FadingMeter).
+    /// The tokens that each customer recently asked for and received through this host, with
+    /// exponential decay (DecayingSum).
     std::map<Base::CustomerId, double> asked;
     std::map<Base::CustomerId, double> received;
-    /// Of what was received, that of which the first event came: less than was sent to servers
-    /// where this host is behind with its own work.
+    /// The part of the received tokens that belongs to requests whose first event came. It is
+    /// smaller than \a received on a host that is behind with its own work.
     std::map<Base::CustomerId, double> begun;
-    /// Seconds, fading as the amounts do, in which something was asked for. Of several hosts, that
-    /// of the one that knows longest.
+    /// The time in seconds in which anything was asked for, with the same decay as the amounts. The
+    /// value of several hosts together is the largest of theirs.
     double askedSeconds = 0;
-    /// Since the report before. If a report is lost, the others believe in fewer copies.
+    /// The prompt parts sent since the previous report. If a report is lost, the other hosts assume
+    /// fewer cached copies than there are.
     std::vector<PartUse> partUses;
 
     bool operator==(const HostLoad &) const = default;
 };
 
-/// The sum over all other hosts.
+/// The sum of the load reports of all other hosts.
 struct OthersLoad
 {
     std::map<Base::ServerId, ServerLoad> servers;
@@ -57,7 +59,7 @@
     std::map<Base::CustomerId, double> received;
     std::map<Base::CustomerId, double> begun;
     double askedSeconds = 0;
-    /// Live hosts, this one included.
+    /// The number of live hosts, including this one.
     std::size_t hosts = 1;
 };
 
