--- a/src/libs/routing/fadingmeter.h
+++ b/src/libs/routing/fadingmeter.h
@@ -8,8 +8,8 @@
 
 namespace Routing {
 
-/// Amounts of each customer over the last seconds, fading: a steady rate of r a second shows as
-/// r times meanSeconds().
+/// Sums up recent amounts of each customer with exponential decay. A steady rate of r per second
+/// has the value r * timeConstantSeconds().
 class FadingMeter
 {
 public:
@@ -23,7 +23,7 @@
         const auto it = m_entries.find(customer);
         return it == m_entries.end() ? 0 : faded(it->second, now);
     }
-    /// Adds to \a sums what has not faded to nothing.
+    /// Adds all amounts to \a sums, except those that have decayed to below 1.
     void addTo(std::map<Base::CustomerId, double> &sums, Base::TimePoint now) const
     {
         for (const auto &[customer, entry] : m_entries) {
@@ -44,8 +44,9 @@
         Base::TimePoint at;
     };
 
-    /// Fairness is owed over some four seconds. A longer memory holds what a surge got before the
-    /// hosts knew of it against its customer for the whole of the next such span.
+    /// Fairness must hold over about four seconds. A longer memory would hold what a customer got
+    /// in a surge, before the hosts knew of it, against that customer for the whole of the
+    /// following four seconds.
     static constexpr Base::Duration halfLife = std::chrono::milliseconds(1400);
 
     static double faded(const Entry &entry, Base::TimePoint now)
