--- a/src/libs/routing/fairlevel.h
+++ b/src/libs/routing/fairlevel.h
@@ -6,8 +6,9 @@
 
 namespace Routing {
 
-/// The max-min share of \a capacity: the level at which the sum of what each customer asks, but no
-/// more than the level, is the capacity. Infinite if all that is asked fits.
+/// Returns the max-min share of \a capacity: the level at which the amounts that customers asked
+/// for, each limited to the level, add up to the capacity. The result is infinite if the capacity
+/// covers all amounts.
 double fairLevel(const std::map<Base::CustomerId, double> &asked, double capacity);
 
 } // namespace Routing
