--- a/src/libs/routing/forwardingmeter.h
+++ b/src/libs/routing/forwardingmeter.h
@@ -7,29 +7,31 @@
 
 namespace Routing {
 
-/// Estimates the processor time that a host's forwarding takes, from what it forwards.
+/// Estimates the processor time that a host spends on forwarding, from the number of forwarded
+/// requests and events.
 ///
-/// Counted rather than read from the system: the process's own time includes reports and store
+/// The time is not read from the system because the process's own time includes reports and store
 /// calls, which do not move to another host when callers do.
 class ForwardingMeter
 {
 public:
-    /// A request that is decided, sent and answered, and one streamed event: what the users' small
-    /// hosts are charged, about twice the 27 and 22 us of docs/MEASUREMENTS.md for their slower
-    /// cores, and for a request its decision over a hundred servers besides.
+    /// The cost of a request that is routed, sent and answered, and of one streamed event. On fast
+    /// cores these are 27 and 22 us. Small hosts have slower cores, so the estimates are about
+    /// twice that; the cost of a request also includes its decision over a hundred servers.
     static constexpr double requestMicroseconds = 125;
     static constexpr double eventMicroseconds = 40;
-    /// A request that is turned away at once.
+    /// The cost of a request that is refused at once.
     static constexpr double refusalMicroseconds = 80;
 
-    /// How many times longer than reckoned what comes from now on takes (CostObserver).
+    /// Sets the ratio of the actual to the estimated cost for work that is added from now on
+    /// (CostObserver).
     void setCostFactor(double factor) { m_costFactor = factor; }
     void addRequest(Base::TimePoint now) { add(requestMicroseconds, now); }
     void addEvents(std::size_t count, Base::TimePoint now)
     {
         add(eventMicroseconds * static_cast<double>(count), now);
     }
-    /// The mean of the last seconds.
+    /// Returns the mean load of the last seconds.
     MilliCores load(Base::TimePoint now) const
     {
         constexpr double microsecondsPerMilliCoreSecond = 1000;
@@ -37,7 +39,8 @@
     }
 
 private:
-    /// Long against the swings of single seconds, short against the lists that callers keep.
+    /// The half-life is long compared to variations between single seconds, and short compared to
+    /// the time for which callers keep a list of hosts.
     static constexpr Base::Duration halfLife = std::chrono::milliseconds(1400);
 
     static double meanSeconds()
