--- a/src/libs/routing/costobserver.cpp
+++ b/src/libs/routing/costobserver.cpp
@@ -8,18 +8,18 @@
 
 using std::chrono::milliseconds;
 
-/// Shortest span that tells: what was counted just before it, or is in the middle at its end, is
-/// little beside it.
+/// The minimum length of a span that counts. Work that was recorded just before the span, or is
+/// unfinished at its end, is small compared to it.
 constexpr Base::Duration leastSpan = milliseconds(200);
-/// A host that does not run for longer than this between two requests was stopped, and spent
-/// nothing meanwhile.
+/// A host that does not run for longer than this between two requests was suspended, and spent
+/// nothing in that time.
 constexpr Base::Duration longestStep = milliseconds(100);
-/// What remains of the sums before with each span: some five seconds count.
+/// The share of the previous sums that remains after each span; about five seconds count.
 constexpr double remains = 0.96;
-/// As if this much time had gone by in which the work took as long as reckoned.
+/// The length of an imaginary first span in which the work cost as much as estimated.
 constexpr Base::Duration presumedSpan = milliseconds(200);
-/// A host that is faster than reckoned keeps what it saves for refusals and new connections:
-/// charged less, its streams crowd them out.
+/// A host that is faster than estimated keeps the saved time for refusals and new connections. With
+/// a lower factor, its streams would crowd them out.
 constexpr double leastFactor = 1;
 constexpr double mostFactor = 8;
 constexpr double milliCoresOfCore = 1000;
--- a/src/libs/routing/costobserver.h
+++ b/src/libs/routing/costobserver.h
@@ -5,12 +5,13 @@
 
 namespace Routing {
 
-/// Observes how many times longer than reckoned a host's work takes.
+/// Observes the ratio of the actual to the estimated cost of a host's work.
 ///
-/// Load: a machine that is slower than those on which the costs were measured, or one that others
-/// press too. What its work takes can't be read from the counts, but while the host is never idle
-/// its whole capacity goes into what is counted. So spans without an idle moment tell: capacity
-/// times elapsed, over the work that was reckoned for what was done in them.
+/// The machine may be slower than those for which the estimates hold, or share its processor
+/// with other load. The amount of work does not show this, but a host that is never idle spends its
+/// whole capacity on that work. Therefore the ratio is taken over spans without an idle moment: it
+/// is the capacity multiplied by the elapsed time, divided by the estimated cost of the work done
+/// in the span.
 class CostObserver
 {
 public:
@@ -18,24 +19,25 @@
         : m_capacity(capacity)
     {}
 
-    /// Nothing was left to do at \a now.
+    /// Records that no work was left at \a now.
     void noteIdle(Base::TimePoint now);
-    /// Work was done that is reckoned to take \a cost.
+    /// Records that work with the estimated cost \a cost was done.
     void addWork(Base::Duration cost) { m_reckoned += cost; }
-    /// Looks at the time; call it with each request.
+    /// Updates the elapsed time. It should be called with each request.
     void advance(Base::TimePoint now);
-    /// Observed cost over reckoned cost, at least 1. Before anything was observed it is 1.
+    /// Returns the ratio of the observed to the estimated cost, which is at least 1. It is 1 before
+    /// anything was observed.
     double factor() const;
 
 private:
     void beginSpan(Base::TimePoint now);
 
     MilliCores m_capacity;
-    /// Of the span without an idle moment that lasts.
+    /// The state of the current span without an idle moment.
     Base::TimePoint m_advancedAt{};
     Base::Duration m_elapsed{};
     Base::Duration m_reckoned{};
-    /// Sums over the spans before, fading with each one.
+    /// The sums over the previous spans, which decay with each span.
     Base::Duration m_spentBefore{};
     Base::Duration m_reckonedBefore{};
 };
