--- a/src/libs/routing/configurationlease.h
+++ b/src/libs/routing/configurationlease.h
@@ -6,13 +6,14 @@
 
 namespace Routing {
 
-/// How long customers' keys may be used without a new proof that the configuration is current.
+/// Limits the time for which customers' keys may be used without new confirmation that the
+/// configuration is current.
 ///
-/// A key that was taken away must not be used later than a few seconds after, also by a host
-/// that is cut off from the store, or was suspended: it cannot know of the change, so it stops
-/// using all keys by itself. A proof is an answer of the store; it counts from the moment at
-/// which the question was sent, since the answer may have been under way for as long as it took.
-/// The clock given must count the time for which the host was suspended.
+/// A revoked key must not be accepted for longer than a few seconds, also by a host that is cut off
+/// from the store or was suspended. Such a host cannot learn of the revocation, so it stops
+/// accepting all keys by itself when the lease expires. An answer of the store renews the lease.
+/// The lease counts from the time at which the request was sent, since the state in the answer may
+/// be as old as that. The given clock must include the time for which the host was suspended.
 class ConfigurationLease
 {
 public:
@@ -20,7 +21,8 @@
         : m_length(length)
     {}
 
-    /// The store answered a question that was sent at \a askedAt: what is known is current.
+    /// Records that the store answered a request that was sent at \a askedAt. The known
+    /// configuration was current then.
     void confirm(Base::TimePoint askedAt)
     {
         if (!m_confirmed || askedAt > *m_confirmed)
