--- a/src/libs/routing/retrypause.h
+++ b/src/libs/routing/retrypause.h
@@ -6,7 +6,8 @@
 
 namespace Routing {
 
-/// Pauses between tries that fail one after the other: each is twice as long as the one before.
+/// Provides the pauses between attempts that fail one after the other. Each pause is twice as long
+/// as the previous one, up to a maximum.
 class RetryPause
 {
 public:
@@ -15,14 +16,15 @@
         , m_longest(longest)
     {}
 
-    /// After a failure. No longer than \a longest, if that is given and shorter than usual.
+    /// Returns the pause after a failure. \a longest limits this pause further if it is below the
+    /// usual maximum.
     Base::Duration next(Base::Duration longest = Base::Duration::max())
     {
         m_last = m_last == Base::Duration::zero() ? m_first : m_last * 2;
         m_last = std::min({m_last, m_longest, longest});
         return m_last;
     }
-    /// After a success.
+    /// Starts again with the first pause, after a success.
     void reset() { m_last = Base::Duration::zero(); }
 
 private:
