--- a/src/libs/routing/routetable.h
+++ b/src/libs/routing/routetable.h
@@ -10,24 +10,25 @@
 
 namespace Routing {
 
-/// A routing configuration made ready for look-ups. Immutable; a request keeps the table that it
-/// was routed by, so that a newer configuration does not change it half-way.
+/// An index of a routing configuration. It is immutable: a request keeps the table by which it was
+/// routed, so that a newer configuration does not affect a request in progress.
 class RouteTable
 {
 public:
     static std::shared_ptr<const RouteTable> create(RoutingConfiguration configuration);
 
-    /// The route of \a host with the longest prefix that begins the path of \a target (a path
-    /// with or without a query); null if there is none. A port in \a host is left out.
+    /// Returns the route of \a host with the longest prefix of the path in \a target (a path with
+    /// or without a query), or null if there is none. A port in \a host is ignored.
     const Route *find(std::string_view host, std::string_view target) const;
     const Service *service(const std::string &name) const;
-    /// The customer that holds \a key; null if nobody does.
+    /// Returns the customer to which \a key belongs, or null if there is none.
     const RoutedCustomer *customerByKey(const std::string &key) const;
     bool needsKey(const Route &route) const
     {
         return !m_configuration.customers.empty() && !route.isAnonymous;
     }
-    /// The service that takes the request; \a draw is evenly spread over requests.
+    /// Returns the service that handles a request, by weight. \a draw must be uniformly distributed
+    /// over requests.
     static const std::string &chooseService(const Route &route, std::uint64_t draw);
 
     std::uint64_t version() const { return m_configuration.version; }
@@ -37,7 +38,7 @@
     explicit RouteTable(RoutingConfiguration configuration);
 
     RoutingConfiguration m_configuration;
-    /// Longest prefix first.
+    /// The routes of each host, sorted by descending length of their prefix.
     std::unordered_map<std::string, std::vector<const Route *>> m_byHost;
     std::unordered_map<std::string, const Service *> m_services;
     std::unordered_map<std::string, const RoutedCustomer *> m_byKey;
