--- a/src/libs/routing/routingconfiguration.h
+++ b/src/libs/routing/routingconfiguration.h
@@ -11,49 +11,51 @@
 
 namespace Routing {
 
-/// What a failed attempt leaves open to be done again.
+/// The kind of a route's requests. It determines whether a request may be repeated after a failed
+/// attempt.
 enum class WorkKind {
-    Idempotent,      ///< May run more than once.
-    NotIdempotent,   ///< Runs at most once.
-    Stream,          ///< A series of events; runs at most once.
-    ResumableStream, ///< A series of events that another server can go on with.
+    Idempotent,      ///< The request may run more than once.
+    NotIdempotent,   ///< The request runs at most once.
+    Stream,          ///< The answer is a series of events; the request runs at most once.
+    ResumableStream, ///< The answer is a series of events that another server can continue.
 };
 
-/// A service that takes part of a route's requests.
+/// A service that handles a part of a route's requests.
 struct WeightedService
 {
     std::string service;
-    /// Share of the requests, in proportion to the other weights of the route.
+    /// The share of the requests, relative to the other weights of the route.
     std::uint32_t weight = 1;
 
     bool operator==(const WeightedService &) const = default;
 };
 
-/// One class of work: which requests belong to it, where they may run and what is owed to them.
+/// A class of requests: which requests belong to it, which services handle them, and which targets
+/// they have.
 struct Route
 {
     std::string name;
-    /// Lower case, without a port.
+    /// The host name in lower case, without a port.
     std::string host;
-    /// Begins and ends with a slash.
+    /// The path prefix, which begins and ends with a slash.
     std::string prefix;
     WorkKind kind = WorkKind::NotIdempotent;
     std::vector<WeightedService> services;
-    /// Servers that one request may be sent to.
+    /// The maximum number of servers to which one request may be sent.
     std::uint32_t maxAttempts = 1;
-    /// A request is answered within this time, if only by a failure.
+    /// The time within which a request is answered, at the latest with a failure.
     Base::Milliseconds timeout{30000};
-    /// An answer that starts within this time is on time.
+    /// An answer whose first event arrives within this time is on time.
     Base::Milliseconds startTarget{1000};
-    /// Longest pause between two events of a stream that is on time.
+    /// The longest pause between two events of a stream that is on time.
     Base::Milliseconds longestPause{1000};
-    /// 0 is the most urgent.
+    /// 0 is the most urgent priority.
     std::uint32_t priority = 0;
-    /// Needs no customer's key.
+    /// Whether requests need no customer's key.
     bool isAnonymous = false;
 
     bool isStream() const { return kind == WorkKind::Stream || kind == WorkKind::ResumableStream; }
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run may be sent again.
     bool mayRepeat() const
     {
         return kind == WorkKind::Idempotent || kind == WorkKind::ResumableStream;
@@ -62,15 +64,15 @@
     bool operator==(const Route &) const = default;
 };
 
-/// What the servers of a service have in common if they run a language model.
+/// The common properties of the servers of a service that run a language model.
 struct EngineTraits
 {
-    /// Requests that run at once.
+    /// The number of requests that run at once.
     std::uint32_t slots = 1;
-    /// Tokens that running requests and kept prompt parts share.
+    /// The number of tokens that running requests and cached prompt parts share.
     std::uint64_t memoryTokens = 0;
-    /// Bytes of running memory for one token, and megabits a second of a server's link; 0 if not
-    /// told, in which case nothing is fetched from one server to another.
+    /// The bytes of KV cache for one token, and the bandwidth of a server's link in megabits per
+    /// second. If either is 0, it is unknown, and servers do not fetch from each other.
     std::uint64_t bytesPerToken = 0;
     std::uint64_t linkMbps = 0;
 
@@ -80,9 +82,9 @@
 struct Service
 {
     std::string name;
-    /// Connections that one server takes from the whole fleet.
+    /// The number of connections that one server accepts from the whole fleet.
     std::uint32_t maxConnections = 64;
-    /// Empty for a plain application.
+    /// The properties of the model servers; empty for a plain application.
     std::optional<EngineTraits> engine;
 
     bool operator==(const Service &) const = default;
@@ -96,27 +98,28 @@
     bool operator==(const RoutedCustomer &) const = default;
 };
 
-/// Bounds on what a caller sends and on how long it may take.
+/// Limits on what a caller sends and on the time that it may take.
 struct CallerLimits
 {
     std::size_t headerBytes = 16384;
     std::size_t bodyBytes = 4U << 20;
     Base::Milliseconds headerTimeout{3000};
     Base::Milliseconds idleTimeout{15000};
-    /// Tokens that all model servers read and generate a second; 0 if not told.
+    /// The number of tokens that all model servers together read and generate in a second; 0 if it
+    /// is unknown.
     std::uint64_t tokensPerSecond = 0;
 
     bool operator==(const CallerLimits &) const = default;
 };
 
-/// One whole version of the routing configuration.
+/// One complete version of the routing configuration.
 struct RoutingConfiguration
 {
-    /// Grows with each version, not always by one.
+    /// The version number, which grows with each version, but not always by one.
     std::uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<Service> services;
-    /// Empty if no customer needs a key.
+    /// The customers and their keys; empty if no customer needs a key.
     std::vector<RoutedCustomer> customers;
     CallerLimits limits;
 
