--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TEST_CASE("a prompt goes where its beginning is kept", "[routing]")
+TEST_CASE("a prompt goes to the server that has its beginning cached", "[routing]")
 {
     Dispatcher dispatcher = engineDispatcher(18);
     const Base::ServerId first = onlyPlacement(dispatcher.submit(prompt(1, 42, start), start));
@@ -74,10 +74,10 @@
     }
 }
 
-TEST_CASE("hosts that meet a beginning at the same moment choose the same server", "[routing]")
+TEST_CASE("hosts that see a beginning at the same moment choose the same server", "[routing]")
 {
-    // The same long beginning is read by four to six servers of a calm pool, a third of a second
-    // of each one's time, since no host knows what the others sent.
+    // Guards against a long beginning that four to six servers of a lightly loaded pool read, each
+    // for a third of a second, because no host knows what the others sent.
     for (std::uint64_t beginning = 1; beginning < 30; ++beginning) {
         Dispatcher one = engineDispatcher(18);
         Dispatcher other = engineDispatcher(18);
@@ -86,12 +86,12 @@
     }
 }
 
-TEST_CASE("what another host sent is known from its report", "[routing]")
+TEST_CASE("the prompt parts that another host sent are known from its report", "[routing]")
 {
     Dispatcher one = engineDispatcher(18);
     Dispatcher other = engineDispatcher(18);
     std::set<Base::ServerId> used;
-    // The first host is made to spread the beginning: its usual server is crowded.
+    // The first host has to spread the beginning over servers, because the usual server is busy.
     for (WorkId id = 1; id <= 12; ++id) {
         const Base::ServerId server = onlyPlacement(one.submit(prompt(id, 42, start), start));
         if (!server.isEmpty())
@@ -109,7 +109,8 @@
     CHECK(second.partUses.empty());
 }
 
-TEST_CASE("a crowded server's beginning is read elsewhere only when that is sooner", "[routing]")
+TEST_CASE("the beginning that a busy server has cached is read elsewhere only if that is sooner",
+          "[routing]")
 {
     Dispatcher dispatcher = engineDispatcher(4);
     std::set<Base::ServerId> used;
@@ -122,17 +123,19 @@
         placed += decisions.placements.size();
         turnedAway += decisions.turnedAway.size();
     }
-    // Each of four servers takes what it can begin in time; nothing is held that cannot be.
+    // Each of the four servers takes what it can start in time, and requests that cannot start in
+    // time are not kept.
     CHECK(used.size() == 4);
     CHECK(placed >= 4);
     CHECK(placed + turnedAway + dispatcher.waiting() == 40);
     CHECK(turnedAway > 0);
 }
 
-TEST_CASE("work that waits for a server counts there", "[routing]")
+TEST_CASE("requests that wait for a server count as its load", "[routing]")
 {
-    // A hundred requests for one beginning come at once. All wait for the server that keeps it,
-    // although three others are idle, since each reckons with that server's work alone.
+    // A hundred requests with one beginning arrive at once. Guards against estimates that ignore
+    // waiting requests: all of them would wait for the server that has the beginning cached,
+    // although three others are idle.
     Dispatcher dispatcher = engineDispatcher(4);
     std::set<Base::ServerId> used;
     for (WorkId id = 1; id <= 30; ++id) {
@@ -145,11 +148,11 @@
     CHECK(used.size() == 4);
 }
 
-TEST_CASE("work that could not start in time is turned away at once, with a time to come back",
+TEST_CASE("a request that could not start in time is turned away at once, with a retry time",
           "[routing]")
 {
-    // A burst of long prompts meets a full pool. Without the check all of them wait until their
-    // callers have given up, and the pool works for nobody.
+    // A burst of long prompts reaches a full pool. Without the check, all of them wait until their
+    // callers have given up, and the pool's work is of no use to anybody.
     Dispatcher dispatcher = engineDispatcher(1);
     std::size_t turnedAway = 0;
     for (WorkId id = 1; id <= 60; ++id) {
@@ -161,7 +164,7 @@
         }
     }
     CHECK(turnedAway > 40);
-    // And what does wait is decided before half of its time to start has passed.
+    // The waiting requests are decided before half of their time to start has passed.
     const Base::TimePoint late = start + milliseconds(425);
     const std::size_t waiting = dispatcher.waiting();
     const Decisions decisions = dispatcher.advance(late);
@@ -169,7 +172,8 @@
     CHECK(dispatcher.waiting() == 0);
 }
 
-TEST_CASE("a server that cannot be reached is left alone, and tried again", "[routing]")
+TEST_CASE("a server that cannot be reached is not used for a while, and then tried again",
+          "[routing]")
 {
     Dispatcher dispatcher = engineDispatcher(2);
     Work work = prompt(1, 42, start);
@@ -188,10 +192,10 @@
     CHECK(used.count(first) == 1);
 }
 
-TEST_CASE("a server that fails part of its requests gets little work", "[routing]")
+TEST_CASE("a server that fails part of its requests gets few requests", "[routing]")
 {
-    // Its health check is good and it answers fast, so it looks like the freest server of all and
-    // attracts the work that it then fails.
+    // The server's health check passes and it answers fast. Guards against treating it as the least
+    // loaded server, which would attract the requests that it then fails.
     const ServiceTraits traits;
     Dispatcher dispatcher(traits, Base::ZoneId("near"));
     dispatcher.setTraits(traits);
@@ -210,19 +214,19 @@
     CHECK(counts[Base::ServerId("s2")] < 100);
 }
 
-TEST_CASE("a pool whose throughput is not told is used all the same", "[routing]")
+TEST_CASE("a pool is used if the configuration gives no throughput", "[routing]")
 {
-    // All requests for a model are turned away although its servers are idle: the configuration
-    // tells no throughput, and the time that a prompt takes was reckoned as infinite.
+    // The configuration gives no throughput. Guards against estimating the reading time as
+    // infinite, with which all requests for a model are refused although its servers are idle.
     const ServiceTraits traits{true, 500000, 0, 0};
     Dispatcher dispatcher(traits, Base::ZoneId("near"));
     dispatcher.setServers(servers(2));
     CHECK_FALSE(onlyPlacement(dispatcher.submit(prompt(1, 42, start), start)).isEmpty());
 }
 
-TEST_CASE("no decision is lost or made twice, whatever happens", "[routing]")
+TEST_CASE("each request is decided exactly once, whatever happens", "[routing]")
 {
-    rc::prop("each piece of work is placed, turned away or waits", [] {
+    rc::prop("each request is placed, turned away or waits", [] {
         Dispatcher dispatcher = engineDispatcher(static_cast<std::size_t>(*rc::gen::inRange(0, 4)));
         std::set<WorkId> open;
         std::vector<WorkId> running;
@@ -258,10 +262,11 @@
     });
 }
 
-TEST_CASE("a beginning whose keeper is crowded is fetched and not read again", "[routing]")
+TEST_CASE("a beginning whose source is busy is fetched and not read again", "[routing]")
 {
-    // A sixth of what engines read are beginnings that another engine keeps: whenever the keeper is
-    // crowded, the next one reads it all again, and what runs there gets its tokens late.
+    // Guards against engines that read again what another engine has cached whenever that one is
+    // busy. This was a sixth of all tokens read, and it delayed the tokens of the requests that ran
+    // there.
     ServiceTraits traits{true, 500000, 40, 0};
     const auto fetchedOf = [&traits](Base::Duration readFor) {
         Dispatcher dispatcher(traits, Base::ZoneId("near"));
@@ -285,16 +290,17 @@
     CHECK(fetchedOf(seconds(1)) == 0);
     traits.moveMsPerToken = 0.001;
     CHECK(fetchedOf(seconds(1)) >= 3 * sharedTokens);
-    // The keeper has not read it yet: a fetch would come back empty.
+    // The source has not read the beginning yet, so a fetch would return nothing.
     CHECK(fetchedOf(milliseconds(10)) == 0);
-    // Slow links: reading is cheaper.
+    // With slow links, reading is cheaper.
     traits.moveMsPerToken = 0.2;
     CHECK(fetchedOf(seconds(1)) == 0);
 }
 
 TEST_CASE("nothing is fetched from a server that fails", "[routing]")
 {
-    // A keeper falls silent. Everybody who fetches from it starts late at servers that are well.
+    // A source stops answering. Guards against fetches from it, with which requests start late at
+    // healthy servers.
     ServiceTraits traits{true, 500000, 40, 0, 0.001};
     Dispatcher dispatcher(traits, Base::ZoneId("near"));
     dispatcher.setServers(servers(3));
@@ -311,7 +317,8 @@
     CHECK(others.placements[0].fetchFrom != keeper);
 }
 
-TEST_CASE("fetches are spread over keepers, and the same zone goes first", "[routing]")
+TEST_CASE("fetches are spread over sources, and sources of the same zone are preferred",
+          "[routing]")
 {
     const ServerCost cost(ServiceTraits{true, 500000, 40, 0, 0.002});
     const Base::ZoneId near("near");
@@ -328,7 +335,8 @@
     CHECK(from({other, busy}) == "other");
     CHECK(from({}) == "none");
     const PrefixFetch fetch(cost, {idle});
-    // It does not fetch from itself, nor what it has, nor so little that reading is sooner.
+    // A server does not fetch from itself, nor tokens that it has cached, nor so few that reading
+    // them takes less time.
     CHECK_FALSE(fetch.plan(idle.server, near, 0));
     CHECK_FALSE(fetch.plan(Base::ServerId("x"), near, 13000));
     CHECK_FALSE(fetch.plan(Base::ServerId("x"), near, 12950));
