--- a/tests/auto/routing/tst_serverset.cpp
+++ b/tests/auto/routing/tst_serverset.cpp
@@ -36,11 +36,11 @@
 
 } // namespace
 
-TEST_CASE("a server that was seen leaving gets no work again", "[routing]")
+TEST_CASE("a server that was seen leaving gets no requests again", "[routing]")
 {
-    // A caller's request fails at a server that has just exited. The server said that it leaves,
-    // then a reading of an older state of the store still shows it as ready, and the host takes
-    // it back. Cause: the newest reading was believed about a state that is final.
+    // A server announces that it leaves, and then a reading of an older state of the store still
+    // lists it as ready. Guards against believing the newest reading about a final state: requests
+    // would fail at a server that has just exited.
     ServerSet set(seconds(2));
     set.apply({server("a"), server("b")}, start);
     const ServerChanges changes = set.apply({server("a", true), server("b")}, start + seconds(1));
@@ -50,12 +50,12 @@
     CHECK(set.usable(Base::ServerId("b")) != nullptr);
 }
 
-TEST_CASE("entries that lapse while the store is away are kept until two seconds after its return",
+TEST_CASE("entries that expire during a store outage are kept for two seconds after its return",
           "[routing]")
 {
-    // All requests are turned away for seconds after an outage of the store. The servers ran all
-    // the while, but their entries lapsed, and the first reading shows an empty list. Cause: a
-    // missing entry was taken for a server that is gone.
+    // The servers run through an outage of the store, but their entries expire, and the first
+    // reading returns an empty list. Guards against treating missing entries as gone servers, with
+    // which all requests are refused for seconds.
     ServerSet set(seconds(2));
     set.apply({server("a"), server("b")}, start);
     set.storeFailed(start + seconds(1));
@@ -63,18 +63,18 @@
     CHECK(set.usable(Base::ServerId("a")) != nullptr);
     set.apply({server("b")}, start + seconds(6));
     CHECK(set.usable(Base::ServerId("a")) != nullptr);
-    // Still missing after that: it is gone, and the other one is not.
+    // Server "a" is still missing after the grace period, so it is gone; the other one is not.
     const ServerChanges changes = set.apply({server("b")}, start + seconds(7) + milliseconds(1));
     CHECK(changes.gone == std::vector{Base::ServerId("a")});
     CHECK(set.usable(Base::ServerId("b")) != nullptr);
 }
 
-TEST_CASE("what another host calls gone is kept too while the store has just come back",
+TEST_CASE("servers that another host reports as gone are kept just after the store's return",
           "[routing]")
 {
-    // After a short outage callers get 503 from a host that keeps the servers whose entries lapsed
-    // in it. Another host of its zone had no call open in the outage, reads a list without them,
-    // and reports them as gone, again and again. Cause: the report was believed at once.
+    // This host keeps the servers whose entries expired in a short outage. Another host of its zone
+    // had no call open during the outage, reads a list without them, and repeatedly reports them as
+    // gone. Guards against believing these reports at once, with which callers get 503.
     ServerSet set(seconds(2));
     set.apply({server("a")}, start);
     set.storeFailed(start + milliseconds(100));
@@ -82,15 +82,17 @@
     const std::vector<ServerChange> gone{{ServerChange::Kind::Gone, server("a")}};
     CHECK(set.applyChanges(gone, start + milliseconds(500)).isEmpty());
     CHECK(set.usable(Base::ServerId("a")) != nullptr);
-    // A server that says that it leaves does so whatever the store did.
+    // A server that announces that it leaves is removed whatever happened to the store.
     set.applyChanges({{ServerChange::Kind::Leaving, server("a")}}, start + milliseconds(600));
     CHECK(set.usable(Base::ServerId("a")) == nullptr);
 }
 
-TEST_CASE("what another host calls gone is kept by one that has just lost the store", "[routing]")
+TEST_CASE("servers that another host reports as gone are kept just after the loss of the store",
+          "[routing]")
 {
-    // As above, but the report comes before this host has read the list again: it has met the
-    // outage, has no news of the return, and drops all servers. Callers get 503 at once.
+    // The report arrives before this host has read the list again: it has noticed the outage, but
+    // not the store's return. Guards against dropping all servers, with which callers get 503 at
+    // once.
     ServerSet set(seconds(2));
     set.apply({server("a")}, start);
     set.storeFailed(start + milliseconds(100));
@@ -98,9 +100,11 @@
     CHECK(set.usable(Base::ServerId("a")) != nullptr);
 }
 
-TEST_CASE("a host that the store turns away for long believes one that reads it", "[routing]")
+TEST_CASE("a host that the store refuses for long accepts the reports of one that reads it",
+          "[routing]")
 {
-    // The store is well and turns this host away: who reads it knows which servers are gone.
+    // The store works and refuses this host, so the host that reads the store knows which servers
+    // are gone.
     ServerSet set(seconds(2));
     set.apply({server("a")}, start);
     set.storeFailed(start + milliseconds(100));
@@ -110,13 +114,13 @@
 }
 
 // Guards against a pool without servers after an outage that this host's own calls did not meet.
-TEST_CASE("entries that lapse in an outage that another host met are kept for the same time",
+TEST_CASE("entries that expire in an outage that another host noticed are kept for the same time",
           "[routing]")
 {
     ServerSet set(seconds(2));
     set.apply({server("a"), server("b"), server("c")}, start);
     set.outageReported(start + seconds(4));
-    // An older one that is heard of later changes nothing.
+    // An earlier outage that is reported later changes nothing.
     set.outageReported(start + seconds(1));
     CHECK(set.apply({server("c")}, start + seconds(5)).gone.empty());
     CHECK_FALSE(set.isSettled(start + seconds(5)));
@@ -124,7 +128,8 @@
     CHECK(set.apply({server("c")}, start + seconds(7)).gone.size() == 2);
 }
 
-// Guards against requests to a server that left, kept because some host is cut off from the store.
+// Guards against requests to a server that left and is kept only because some host is cut off from
+// the store.
 TEST_CASE("a server that ends while another host has lost the store is gone at once", "[routing]")
 {
     ServerSet set(seconds(2));
@@ -134,8 +139,8 @@
     CHECK(set.isSettled(start + seconds(1)));
 }
 
-// Guards against a report of long ago that keeps servers which are gone.
-TEST_CASE("an outage that another host met long ago keeps no servers", "[routing]")
+// Guards against an old report that keeps servers which are gone.
+TEST_CASE("an outage that another host noticed long ago keeps no servers", "[routing]")
 {
     ServerSet set(seconds(2));
     set.apply({server("a")}, start);
@@ -143,18 +148,18 @@
     CHECK(set.apply({}, start + seconds(3)).gone.size() == 1);
 }
 
-TEST_CASE("a missing entry means gone at once while the store is well", "[routing]")
+TEST_CASE("a missing entry means that the server is gone while the store is reachable", "[routing]")
 {
     ServerSet set(seconds(2));
     set.apply({server("a"), server("b")}, start);
     CHECK(set.apply({server("b")}, start + seconds(1)).gone.size() == 1);
-    // A server whose heartbeats were held up registers itself again under the same id.
+    // A server whose heartbeats were delayed registers itself again under the same id.
     CHECK(set.apply({server("a"), server("b")}, start + seconds(2)).found.size() == 1);
 }
 
-TEST_CASE("no reading brings a leaving server back, in any order of readings", "[routing]")
+TEST_CASE("no reading makes a leaving server usable, in any order of readings", "[routing]")
 {
-    rc::prop("once seen leaving, never usable", [] {
+    rc::prop("a server that was seen leaving is never usable", [] {
         ServerSet set(seconds(2));
         std::set<std::string> left;
         Base::TimePoint now = start;
@@ -179,28 +184,30 @@
     });
 }
 
-TEST_CASE("keys are used only for a time after the last proof", "[routing]")
+TEST_CASE("keys are accepted only for a limited time after the last confirmation", "[routing]")
 {
-    // A key is taken away while a host is cut off from the store; seconds later the host still
-    // serves requests with it. Cause: it took its configuration for current until told otherwise.
+    // A key is revoked while a host is cut off from the store. Guards against a host that considers
+    // its configuration current until told otherwise, and still accepts the key seconds later.
     ConfigurationLease lease(milliseconds(3500));
     CHECK_FALSE(lease.isHeld(start));
     lease.confirm(start);
     CHECK(lease.isHeld(start + milliseconds(3499)));
     CHECK_FALSE(lease.isHeld(start + milliseconds(3500)));
-    // An answer counts from when its question was sent, and a late older one changes nothing.
+    // A lease counts from the time at which the request was sent, and a late answer to an earlier
+    // request changes nothing.
     lease.confirm(start + seconds(2));
     lease.confirm(start + seconds(1));
     CHECK(lease.isHeld(start + seconds(5)));
     CHECK_FALSE(lease.isHeld(start + milliseconds(5500)));
 }
 
-TEST_CASE("a host that was cut off from the store is not settled until its grace is over",
+TEST_CASE("a host that was cut off from the store is not authoritative until its grace period ends",
           "[routing]")
 {
-    // A server ends without a word, and two seconds later hosts that were in touch with the store
-    // all the time still send to it. A host that had been cut off came back just before, was again
-    // the one that reads for its zone, and still kept entries that were missing.
+    // A server ends without announcing it while a host that was cut off has just returned and reads
+    // the store for its zone again. Guards against hosts that were connected all the time taking
+    // over its set, which still contains the missing entry: two seconds later they would still send
+    // requests to that server.
     ServerSet set(seconds(2));
     set.apply({server("a")}, start);
     CHECK(set.isSettled(start));
@@ -212,11 +219,11 @@
     CHECK(set.isSettled(start + seconds(6)));
 }
 
-TEST_CASE("a host that takes changes from another one has the same servers", "[routing]")
+TEST_CASE("a host that applies the changes of another one has the same servers", "[routing]")
 {
-    // Sixty hosts each read all entries of the store whenever one server starts or leaves. Cause:
-    // the reader of a zone told that something had changed, but not what.
-    rc::prop("reports repeated, some lost: same set, or fingerprints differ", [] {
+    // Guards against sixty hosts that each read all entries of the store whenever one server starts
+    // or leaves, because the reader of a zone reports that something changed, but not what.
+    rc::prop("the fingerprints are equal after repeated and partly lost reports", [] {
         ServerSet reader(seconds(2));
         ServerSet other(seconds(2));
         Base::TimePoint now = start;
@@ -244,7 +251,8 @@
                     entries.push_back(server(std::to_string(it), leaving.count(it) > 0));
                 reader.apply(entries, now);
             }
-            // One report in four is lost; never three in a row within the second that it is told.
+            // One report in four is lost, but never three in a row within the second for which a
+            // change is reported.
             if (step % 4 != 3)
                 other.applyChanges(reader.recentChanges(now), now);
         }
@@ -254,7 +262,7 @@
     });
 }
 
-TEST_CASE("a server that leaves stays left whatever a late report says", "[routing]")
+TEST_CASE("a server that left is not usable again, whatever a late report says", "[routing]")
 {
     ServerSet set(seconds(2));
     set.apply({server("a")}, start);
@@ -266,10 +274,11 @@
     CHECK(set.recentChanges(start + seconds(2)).empty());
 }
 
-TEST_CASE("a server that starts again under its name is another one", "[routing]")
+TEST_CASE("a server that starts again under its name is another server", "[routing]")
 {
-    // A server is empty after a restart, but for as long as its entry lives it gets the prompts
-    // that it kept before, on connections that are dead. Cause: only its name was looked at.
+    // A server loses its state in a restart. Guards against identifying it by its name only: while
+    // its entry lives, it would get the prompts that it had cached before, on connections that are
+    // dead.
     ServerSet set(seconds(2));
     const RegisteredServer before = startOf("a", milliseconds(100));
     const RegisteredServer after = startOf("a", milliseconds(200));
@@ -277,7 +286,7 @@
     const ServerChanges changes = set.apply({after}, start + seconds(1));
     CHECK(changes.gone == std::vector{before.id});
     CHECK(changes.found == std::vector{after.id});
-    // An older reading, or another host's report, does not bring the earlier start back.
+    // Neither an older reading nor another host's report brings the earlier start back.
     set.apply({before}, start + seconds(2));
     CHECK(set.usable(before.id) == nullptr);
     set.apply({after}, start + seconds(3));
@@ -288,24 +297,24 @@
 
 TEST_CASE("a server that left and starts again is used again", "[routing]")
 {
-    // A server is emptied, restarted under its name, and never gets work again although it is
-    // ready. Cause: the mark of leaving belonged to the name and not to one start.
+    // A server is drained and restarted under its name. Guards against a mark of leaving that
+    // belongs to the name and not to one start, with which the server never gets requests again
+    // although it is ready.
     ServerSet set(seconds(2));
     set.apply({startOf("a", milliseconds(100))}, start);
     set.apply({startOf("a", milliseconds(100), true)}, start + seconds(1));
     const RegisteredServer after = startOf("a", milliseconds(200));
     CHECK(set.apply({after}, start + seconds(3)).found == std::vector{after.id});
-    // What an older state of the store says of the start that left changes nothing.
+    // What an older state of the store says about the start that left changes nothing.
     set.applyChanges({{ServerChange::Kind::Leaving, startOf("a", milliseconds(100), true)}},
                      start + seconds(3));
     CHECK(set.usable(after.id) != nullptr);
 }
 
-TEST_CASE("a start that replaces another one does so while the store has just come back",
-          "[routing]")
+TEST_CASE("a start replaces the previous one just after the store's return too", "[routing]")
 {
-    // Entries that are missing are kept for two seconds after the store's return. A server that
-    // started again meanwhile is named by its entry, so the start before it is gone at once.
+    // Missing entries are kept for two seconds after the store's return. The entry of a server that
+    // started again in the meantime names it, so the previous start is gone at once.
     ServerSet set(seconds(2));
     const RegisteredServer before = startOf("a", milliseconds(100));
     set.apply({before, startOf("b", milliseconds(100))}, start);
@@ -315,9 +324,9 @@
     CHECK(set.servers().size() == 2);
 }
 
-TEST_CASE("in any order of readings and reports the latest start is the one in use", "[routing]")
+TEST_CASE("the latest start is used in any order of readings and reports", "[routing]")
 {
-    rc::prop("no start that is older than one seen before is usable", [] {
+    rc::prop("only the latest start that was seen is usable", [] {
         ServerSet set(seconds(2));
         std::map<std::string, milliseconds> latest;
         Base::TimePoint now = start;
