--- a/tests/auto/routing/tst_fairness.cpp
+++ b/tests/auto/routing/tst_fairness.cpp
@@ -30,8 +30,8 @@
     return it;
 }
 
-/// Hosts before a few engines, with the reports between them. Engines read a fixed number of
-/// tokens in a millisecond, one request after the other.
+/// Simulates hosts and a few engines, including the reports between hosts. Engines read a fixed
+/// number of tokens in a millisecond, one request after the other.
 class Fleet
 {
 public:
@@ -90,7 +90,8 @@
         const auto it = m_served.find(customer);
         return it == m_served.end() ? 0 : it->second;
     }
-    /// Mean time from a request's arrival at a server until that has read its prompt.
+    /// Returns the mean time from a request's arrival at a server until the server has read its
+    /// prompt.
     Base::Duration readAfter(const std::string &customer) const
     {
         return m_waited.at(customer) / static_cast<int>(served(customer));
@@ -165,9 +166,10 @@
 
 } // namespace
 
-TEST_CASE("the level shares a capacity out evenly among those who ask for more", "[routing]")
+TEST_CASE("the max-min level divides a capacity evenly among customers who ask for more",
+          "[routing]")
 {
-    rc::prop("nobody gets more than it asks, and nothing is left while somebody asks", [] {
+    rc::prop("nobody gets more than it asks for, and no requested capacity is left unused", [] {
         const auto amounts = *rc::gen::container<std::vector<double>>(
             12, rc::gen::map(rc::gen::inRange(0, 1000), [](int n) { return double(n); }));
         std::map<Base::CustomerId, double> asked;
@@ -187,9 +189,10 @@
 
 TEST_CASE("a customer at one host gets as much as one at all hosts", "[routing]")
 {
-    // Two dealers each ask for far more than the pool has. The callers of one are all connected to
-    // one host, those of the other to all eight. The second gets six times as much: each host
-    // gives away the spare room that it sees by itself, and the second has eight tries at it.
+    // Two customers each ask for far more than the pool has. The callers of one are connected to
+    // one host, those of the other to all eight. Guards against hosts that each give away the spare
+    // capacity they see on their own: the second customer, with eight attempts at it, would get six
+    // times as much.
     Fleet fleet(8, 9);
     for (int ms = 0; ms < 20000; ms += 5) {
         const Base::TimePoint now = start + milliseconds(ms);
@@ -204,12 +207,13 @@
     CHECK(fleet.served("asks for little") >= 98);
 }
 
-TEST_CASE("who begins first does not take the share of two seconds at once", "[routing]")
+TEST_CASE("the first customer does not take the share of two seconds at once", "[routing]")
 {
-    // All callers come back after an outage. One customer's thirty requests are there a tenth of a
-    // second before the others', and fill each server's reading queue to the brim; for two seconds
-    // the others start late. Cause: what it had received was held against the share of two seconds
-    // although the load had lasted for a tenth of one.
+    // One customer's thirty requests arrive a tenth of a second before those of the others, for
+    // example when all callers return after an outage. Guards against comparing what it received
+    // with the share of two seconds although the load has lasted for a tenth of a second. Its
+    // requests would fill each server's reading queue, and the others would start late for two
+    // seconds.
     const ServiceTraits traits{true, 500000, 40, 24000};
     Dispatcher dispatcher(traits, Base::ZoneId("z"));
     RegisteredServer server;
@@ -222,16 +226,17 @@
         now += milliseconds(3);
         placed += dispatcher.submit(work(id, "first", now), now).placements.size();
     }
-    // One is a tenth of a second of the server's reading.
+    // One request takes a tenth of a second of the server's reading.
     CHECK(placed <= 2);
     CHECK(dispatcher.submit(work(31, "second", now), now).placements.size() == 1);
 }
 
-TEST_CASE("others take no spare room beside a customer whose host is behind", "[routing]")
+TEST_CASE("others get no spare capacity beside a customer whose host is behind", "[routing]")
 {
     // Two customers ask for far more than their share. The callers of one stay with a small host
-    // that sends its requests to servers and comes to their answers seconds later; it gets a third
-    // of what the other gets. Cause: what was sent counted as received.
+    // that sends its requests to servers but processes their answers seconds later. Guards against
+    // counting sent requests as received, with which this customer gets a third of what the other
+    // one gets.
     const ServiceTraits traits{true, 500000, 40, 24000};
     Dispatcher dispatcher(traits, Base::ZoneId("z"));
     std::vector<RegisteredServer> servers(4);
@@ -246,7 +251,8 @@
     others.received[slow] = 120000;
     others.begun[slow] = 120000;
     dispatcher.setOthers(others);
-    // The other one, at this host, has its share of the two seconds, and servers have room.
+    // The other customer uses this host. It has its share of the two seconds, and the servers have
+    // capacity.
     Base::TimePoint now = start;
     WorkId id = 0;
     const auto serve = [&](int requests) {
@@ -269,11 +275,13 @@
     CHECK(uneven * 2 <= even);
 }
 
-TEST_CASE("others take no spare room beside a customer that a host behind turns away", "[routing]")
+TEST_CASE("others get no spare capacity beside a customer that a host refuses because it is behind",
+          "[routing]")
 {
     // A large customer's callers all stay with one small host that has no processor time left for
-    // their streams. It gets a tenth of what another one gets for as long as that lasts. Cause:
-    // what the host turned away itself was not asked for, as far as the fleet knew.
+    // their streams. Guards against a fleet that does not count the requests refused by that host
+    // as demand, with which the customer gets a tenth of what another one gets as long as the load
+    // lasts.
     const ServiceTraits traits{true, 500000, 40, 100000};
     Dispatcher behind(traits, Base::ZoneId("z"));
     Dispatcher idle(traits, Base::ZoneId("z"));
@@ -302,15 +310,16 @@
         if (now >= start + seconds(2))
             served += decisions.placements.size();
     }
-    // It asks for 200 requests in these four seconds; its share of the throughput is 48.
+    // The customer asks for 200 requests in these four seconds; its share of the throughput is 48.
     CHECK(served < 70);
 }
 
-TEST_CASE("a customer whose demand jumps does not take the spare room from the others", "[routing]")
+TEST_CASE("a customer whose demand jumps does not take the spare capacity from the others",
+          "[routing]")
 {
-    // Half of a large customer's requests are refused while engines use a sixth of their slots,
-    // each time that another customer's demand jumps. That one gets all it asks for, but its first
-    // events are a third of a second behind, and the others were held to what it had before.
+    // Another customer's demand jumps. It gets all that it asks for, but its first events come a
+    // third of a second later. Guards against limiting a large customer to the other one's earlier
+    // amount: half of its requests would be refused while engines use a sixth of their slots.
     CustomerShares shares;
     shares.setThroughput(100000);
     OthersLoad others;
@@ -331,19 +340,19 @@
     CHECK(pass(seconds(3)) == Admission::SpareCapacity);
     others.asked[jumping] = 90000;
     CHECK(pass(milliseconds(500)) == Admission::SpareCapacity);
-    // It is not served: now it matters what it has.
+    // The customer stays underserved, so its amount now limits the others.
     CHECK(pass(milliseconds(400)) == Admission::Refused);
     others.begun[jumping] = 85000;
     CHECK(pass(milliseconds(200)) == Admission::SpareCapacity);
-    // A short relief is the end of it, and the time counts anew.
+    // A short recovery ends the underserved time, and it is counted from zero again.
     others.begun[jumping] = 5000;
     CHECK(pass(milliseconds(300)) == Admission::SpareCapacity);
 }
 
 TEST_CASE("a flood does not delay customers within their share", "[routing]")
 {
-    // One customer sends hundreds of times its usual. Everybody's first tokens come a third of a
-    // second late, since its work fills each server's reading queue to the brim.
+    // Guards against a customer that sends hundreds of times its usual load and fills each server's
+    // reading queue, so that the first events of all customers are a third of a second late.
     Fleet fleet(4, 6);
     for (int ms = 0; ms < 10000; ms += 2) {
         const Base::TimePoint now = start + milliseconds(ms);
@@ -352,15 +361,15 @@
             fleet.submit(static_cast<std::size_t>(ms / 100) % 4, "small", now);
         fleet.advance(now);
     }
-    // Without the share it is 47 served, read after 385 ms.
+    // Without the shares, 47 requests are served, and they are read after 385 ms.
     CHECK(fleet.served("small") >= 85);
     CHECK(fleet.readAfter("small") < milliseconds(260));
 }
 
 TEST_CASE("a flood does not leave the pool idle", "[routing]")
 {
-    // One customer asks for everything and nobody else asks: it gets what the pool can do, which
-    // is more than the throughput that is shared out.
+    // One customer asks for more than the pool can do, and nobody else asks for anything. It should
+    // get all the capacity, which is more than the throughput that is shared out.
     Fleet fleet(4, 6);
     for (int ms = 0; ms < 10000; ms += 2) {
         const Base::TimePoint now = start + milliseconds(ms);
@@ -371,11 +380,11 @@
     CHECK(fleet.servedInAll() > 0.9 * most);
 }
 
-TEST_CASE("work that comes back from a failed server is not turned away for its customer's share",
+TEST_CASE("a retry after a failed server is not refused because of its customer's share",
           "[routing]")
 {
-    // A stream's server crashes, and its caller gets a failure although other servers have room:
-    // its customer had received more than its share meanwhile, so the second attempt was refused.
+    // A stream's server crashes. Guards against refusing the second attempt because its customer
+    // has received more than its share in the meantime, although other servers have capacity.
     const ServiceTraits traits{true, 500000, 40, 1000};
     Dispatcher dispatcher(traits, Base::ZoneId("z"));
     std::vector<RegisteredServer> servers(2);
@@ -388,7 +397,7 @@
     first.promptTokens = 80000;
     const Decisions placed = dispatcher.submit(first, start);
     REQUIRE(placed.placements.size() == 1);
-    // Others ask for more than there is, and the large customer is far beyond its share by now.
+    // Others ask for more than the pool has, and the large customer is far beyond its share by now.
     for (WorkId id = 2; id < 40; ++id)
         dispatcher.submit(work(id, "small", start), start);
     for (WorkId id = 2; id < 40; ++id) {
@@ -402,7 +411,8 @@
     CHECK(again.placements.size() == 1);
 }
 
-TEST_CASE("who has received least is next, and within a customer the more urgent", "[routing]")
+TEST_CASE("the customer that received least is next, and its most urgent request is first",
+          "[routing]")
 {
     FairWaiting waiting;
     Work urgent = work(3, "large", start);
