--- a/tests/auto/routing/tst_backlogwatch.cpp
+++ b/tests/auto/routing/tst_backlogwatch.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-/// What a small host made of ten seconds of load.
+/// The result of ten seconds of load on a small host.
 struct Outcome
 {
     Base::Duration longestWait{};
     double servedTokens = 0;
-    /// Of the processor, that the streams take which were taken after the first second.
+    /// The processor time of the streams that were admitted after the first second.
     double promisedMilliseconds = 0;
 };
 
-/// Of each millisecond.
+/// The processor time that is available in each millisecond.
 constexpr double millisecondsOfProcessor = 0.12;
 
-/// Until a host with \a backlog, in milliseconds of its processor, gets to what comes now.
+/// Returns the time until a host with a \a backlog, given in milliseconds of its processor, starts
+/// on new work.
 Base::Duration waitFor(double backlog)
 {
     const std::chrono::duration<double, std::milli> wait(backlog / millisecondsOfProcessor);
@@ -37,10 +38,10 @@
     return work;
 }
 
-/// \a streamsPerSecond streams a second, half of them with long prompts and twenty events and half
-/// with short prompts and thirty, come to a host of 0.12 cores. A request takes 125 us, an event
-/// 40 us, a refusal 80 us. Connections that would wait for longer than \a callersWait are not
-/// accepted any more.
+/// Simulates a host of 0.12 cores that gets \a streamsPerSecond streams. Half of them have long
+/// prompts and twenty events, the others short prompts and thirty events. A request costs 125 us,
+/// an event 40 us, a refusal 80 us. Connections that would wait for longer than \a
+/// maxConnectionWait are not accepted.
 Outcome play(int streamsPerSecond, bool chooses, Base::Duration callersWait = Base::Duration::max())
 {
     const Base::TimePoint firstSecondOver{seconds(101)};
@@ -80,15 +81,17 @@
     return outcome;
 }
 
-/// Processor time that streams of two customers took which were taken after the first two seconds.
+/// The processor time of the streams of two customers that were admitted after the first two
+/// seconds.
 struct PerCustomer
 {
     double ofLong = 0;
     double ofShort = 0;
 };
 
-/// For ten seconds one customer sends streams with long prompts and short answers to a host of
-/// 0.12 cores, and another one streams with short prompts and long answers, each so many a second.
+/// Simulates ten seconds on a host of 0.12 cores. One customer sends streams with long prompts and
+/// short answers, another one streams with short prompts and long answers, each at its own rate per
+/// second.
 PerCustomer playTwo(int longPerSecond, int shortPerSecond)
 {
     Base::TimePoint now{seconds(100)};
@@ -103,7 +106,8 @@
         dueLong += longPerSecond / 1000.0;
         dueShort += shortPerSecond / 1000.0;
         while ((dueLong >= 1 || dueShort >= 1) && waitFor(backlog) <= seconds(1)) {
-            // Who is first takes turns: at one moment not all are accepted.
+            // The customers take turns at being first, since not all connections are accepted at
+            // the same moment.
             const bool isLong = ms % 2 == 0 ? dueLong >= 1 : dueShort < 1;
             (isLong ? dueLong : dueShort) -= 1;
             Work work = isLong ? stream(17000, 480) : stream(1460, 700);
@@ -129,35 +133,40 @@
 
 } // namespace
 
-TEST_CASE("a host with three times the streams that it can forward stays near its callers",
+TEST_CASE("a host with three times the streams that it can forward keeps its backlog short",
           "[routing]")
 {
-    // A large customer's callers stay with one host of an eighth of a core. Their streams end
-    // unfinished, and for fifteen seconds nobody else can even connect. Cause: the host took in
-    // whatever came, and its backlog grew with every second.
+    // Guards against a host that admits every stream while a large customer's callers stay with it.
+    // Its backlog then grows with every second: the streams end unfinished, and for fifteen seconds
+    // nobody else can connect.
     CHECK(play(330, false).longestWait > seconds(10));
     CHECK(play(330, true).longestWait < milliseconds(1200));
 }
 
-TEST_CASE("a host that is behind takes the streams that serve most for their cost", "[routing]")
+TEST_CASE("a host that is behind admits the streams with the highest ratio of service to cost",
+          "[routing]")
 {
-    // The same customer gets a tenth of what others get. Cause: its host spent its processor on
-    // many events of small work; of its 1,300 us a stream a long prompt takes 925.
+    // Guards against a host that spends its processor on the many events of small streams. A stream
+    // costs 1,300 us, of which a long prompt uses 925, and the host's customer would get a tenth of
+    // what others get.
     const Outcome outcome = play(330, true);
-    // Taken as they come, a host that keeps up serves 106 streams a second of 9,230 tokens.
+    // If it admitted all streams, a host that keeps up would serve 106 streams of 9,230 tokens per
+    // second.
     CHECK(outcome.servedTokens > 1.3 * 10 * 106 * 9230);
 }
 
-TEST_CASE("a host whose refusals alone fill its processor still serves its customer", "[routing]")
+TEST_CASE("a host whose refusals alone use its whole processor still serves its customer",
+          "[routing]")
 {
-    // A large customer's callers all stay with one host of an eighth of a core: 2,400 requests a
-    // second with those that come back, while seven other hosts are idle. Callers see nothing but
-    // refusals for as long as it lasts, though the pool has room. Cause: refusing them fills the
-    // processor, so the host is never idle, and a host that is behind took no streams.
+    // A large customer's callers all stay with one host of an eighth of a core. With retries they
+    // send 2,400 requests per second, while seven other hosts are idle. Refusing them uses the
+    // whole processor, so the host is never idle. Guards against such a host refusing all streams
+    // as long as the load lasts, although the pool has capacity.
     const Outcome outcome = play(2400, true, seconds(1));
-    // Another customer got 450,000 tokens a second. Fair is half of that; half again is the room.
+    // Another customer got 450,000 tokens per second. Half of that is fair, and the bound adds half
+    // as much again.
     CHECK(outcome.servedTokens > 1.5 * 10 * 450000 / 2);
-    // And those that it takes are not promised more than half of its processor can forward.
+    // The admitted streams need no more than half of the host's processor.
     CHECK(outcome.promisedMilliseconds < 0.55 * 9000 * millisecondsOfProcessor);
 }
 
@@ -169,31 +178,33 @@
     CHECK(all.longestWait == chosen.longestWait);
 }
 
-TEST_CASE("a customer with short prompts and long answers is not the one passed over", "[routing]")
+TEST_CASE("a customer with short prompts and long answers gets its share of a host that is behind",
+          "[routing]")
 {
-    // Two customers' callers stay with one host that is behind. One of them gets nothing for as
-    // long as that lasts. Cause: only streams that serve most for their cost were taken, and all of
-    // its streams serve less than the other's.
+    // Two customers' callers stay with one host that is behind. Guards against admitting only
+    // streams with a high ratio of service to cost over all customers: all streams of one customer
+    // have a lower ratio than those of the other, so it would get nothing.
     const PerCustomer taken = playTwo(200, 100);
     CHECK(taken.ofLong > 0);
     CHECK(taken.ofShort > 0.7 * taken.ofLong);
     CHECK(taken.ofShort < 1.4 * taken.ofLong);
 }
 
-TEST_CASE("a customer that asks ten times as much at a host that is behind gets no more",
+TEST_CASE("a customer that sends many more requests to a host that is behind gets no more of it",
           "[routing]")
 {
-    // Guards against a host that serves whoever asks most often.
+    // Guards against a host that serves the customer with the most requests.
     const PerCustomer taken = playTwo(1500, 80);
     CHECK(taken.ofShort > 0.7 * taken.ofLong);
     const PerCustomer other = playTwo(80, 1500);
     CHECK(other.ofLong > 0.7 * other.ofShort);
 }
 
-TEST_CASE("a customer whose large streams are rare uses its part of a host that is behind",
+TEST_CASE("a customer whose large streams are rare uses its share of a host that is behind",
           "[routing]")
 {
-    // Guards against a part that is left unused: few of its streams serve more than their mean.
+    // Guards against a share that stays unused because few of a customer's streams have a ratio
+    // above their mean.
     Base::TimePoint now{seconds(100)};
     BacklogWatch watch(120);
     watch.noteIdle(now);
@@ -221,10 +232,10 @@
     CHECK(promised > 0.15 * 8000 * millisecondsOfProcessor);
 }
 
-TEST_CASE("streams that are refused for another reason take nothing of what a host promises",
+TEST_CASE("streams that are refused for another reason use none of the promised processor time",
           "[routing]")
 {
-    // Guards against a host that serves nobody beside a flood that is beyond its share.
+    // Guards against a host that serves nobody else during a flood that is beyond its share.
     Base::TimePoint now{seconds(100)};
     BacklogWatch watch(120);
     watch.noteIdle(now);
