--- a/tests/auto/routing/tst_customerpacer.cpp
+++ b/tests/auto/routing/tst_customerpacer.cpp
@@ -12,7 +12,8 @@
 constexpr Base::TimePoint start{seconds(1000)};
 const Base::CustomerId customer("c");
 
-/// Tokens that are let in within \a span of requests of \a tokens that come each millisecond.
+/// Returns the tokens that are admitted within \a span if a request of \a tokens arrives each
+/// millisecond.
 double letIn(CustomerPacer &pacer, double tokens, Base::TimePoint from, Base::Duration span)
 {
     double sum = 0;
@@ -27,10 +28,10 @@
 
 } // namespace
 
-TEST_CASE("a customer is let in at its rate, whatever the size of its requests", "[routing]")
+TEST_CASE("a customer is admitted at its rate, whatever the size of its requests", "[routing]")
 {
-    // Guards against large requests that are passed over, and small ones that slip through.
-    rc::prop("in ten seconds it is the rate within one request and what may come at once", [] {
+    // Guards against large requests that are starved, and small ones that exceed the rate.
+    rc::prop("the total of ten seconds is the rate, give or take one request and the credit", [] {
         const double rate = *rc::gen::inRange(1000, 400000);
         const double tokens = *rc::gen::inRange(100, 60000);
         CustomerPacer pacer;
@@ -41,7 +42,7 @@
     });
 }
 
-TEST_CASE("who has no rate is let in", "[routing]")
+TEST_CASE("a customer without a rate is admitted", "[routing]")
 {
     CustomerPacer pacer;
     CHECK(pacer.mayPass(customer, start));
@@ -52,9 +53,9 @@
     CHECK(pacer.mayPass(customer, start + seconds(1)));
 }
 
-TEST_CASE("a flood that was let in before is not held against its customer for long", "[routing]")
+TEST_CASE("the debt of a flood that was admitted earlier is limited", "[routing]")
 {
-    // Guards against debt of several seconds, for which a customer would get nothing.
+    // Guards against a debt of several seconds, during which a customer would get nothing.
     CustomerPacer pacer;
     pacer.setRates({{customer, 10000}}, start);
     for (int i = 0; i < 20; ++i)
@@ -63,7 +64,7 @@
     CHECK(pacer.mayPass(customer, start + milliseconds(1100)));
 }
 
-TEST_CASE("what was let in and not served is given back", "[routing]")
+TEST_CASE("the charge of a request that is not served is refunded", "[routing]")
 {
     CustomerPacer pacer;
     pacer.setRates({{customer, 10000}}, start);
