--- a/tests/auto/routing/tst_entryselection.cpp
+++ b/tests/auto/routing/tst_entryselection.cpp
@@ -21,7 +21,8 @@
     return {Base::HostId(name), Base::ZoneId(zone), name + ":8000", capacity, load};
 }
 
-/// Four zones, each with two strong hosts and \a weak weak ones, that forward \a load in all.
+/// Returns four zones with two strong hosts and \a weak weak hosts each. Together they forward \a
+/// load.
 std::vector<EntryHost> mixedFleet(int weak, MilliCores load)
 {
     std::vector<EntryHost> hosts;
@@ -45,11 +46,11 @@
 
 } // namespace
 
-TEST_CASE("callers are told of the strong hosts of a large fleet while those suffice", "[routing]")
+TEST_CASE("only the strong hosts of a large fleet are listed while they suffice", "[routing]")
 {
-    // Answers come late although half of the fleet's processor time is free. Each caller's
-    // requests meet one of 66 hosts, most of them weak. Cause: all hosts were named alike, so
-    // weak ones fell behind in bursts, and each opened connections that it used once.
+    // Guards against listing all 66 hosts, most of which are weak. The weak ones fall behind in
+    // bursts and each opens connections that it uses once, so answers are late although half of the
+    // fleet's processor time is unused.
     EntrySelection selection;
     selection.update(mixedFleet(14, 1000), start);
     REQUIRE(selection.chosen().size() == 8);
@@ -57,7 +58,7 @@
         CHECK(it.capacity == 500);
 }
 
-TEST_CASE("more hosts are named when the load grows, and fewer some time after it fell",
+TEST_CASE("more hosts are listed when the load grows, and fewer some time after it fell",
           "[routing]")
 {
     EntrySelection selection;
@@ -71,7 +72,7 @@
     CHECK(selection.chosen().size() == 8);
 }
 
-TEST_CASE("weak hosts stand in at once when strong ones are lost", "[routing]")
+TEST_CASE("weak hosts are listed at once when strong ones are lost", "[routing]")
 {
     EntrySelection selection;
     selection.update(mixedFleet(14, 1000), start);
@@ -91,9 +92,10 @@
     CHECK(zones.size() == 4);
 }
 
-TEST_CASE("any fleet: each zone has entries, a small fleet is named whole", "[routing]")
+TEST_CASE("in any fleet each zone has entry hosts, and a small fleet is listed completely",
+          "[routing]")
 {
-    rc::prop("no host twice, zones covered, need covered or all named", [] {
+    rc::prop("no host is listed twice, all zones and the required capacity are covered", [] {
         const int zones = *rc::gen::inRange(1, 6);
         const int count = *rc::gen::inRange(1, 40);
         std::vector<EntryHost> hosts;
@@ -125,7 +127,7 @@
     });
 }
 
-TEST_CASE("the load of forwarding is a rate that fades", "[routing]")
+TEST_CASE("the forwarding load is a rate that decays", "[routing]")
 {
     ForwardingMeter meter;
     CHECK(meter.load(start) == 0);
@@ -135,7 +137,7 @@
         meter.addRequest(now);
         meter.addEvents(10, now);
     }
-    // A hundred requests and a thousand events a second: 12.5 + 40 ms.
+    // A hundred requests and a thousand events per second take 12.5 + 40 ms.
     CHECK(meter.load(now) >= 50);
     CHECK(meter.load(now) <= 55);
     CHECK(meter.load(now + seconds(30)) == 0);
