--- a/tests/auto/routing/tst_retryshare.cpp
+++ b/tests/auto/routing/tst_retryshare.cpp
@@ -21,9 +21,10 @@
 
 } // namespace
 
-TEST_CASE("the hosts' repeats together stay within the fleet's budget in every window", "[routing]")
+TEST_CASE("the retries of all hosts together stay within the fleet's budget in every window",
+          "[routing]")
 {
-    // Load: half of the servers fail, and every host wants to send each of its requests again.
+    // Half of the servers fail, and every host wants to retry each of its requests.
     rc::prop("any span of the window's length", [] {
         const RetryAllowance allowance{0.2, 52, seconds(10)};
         const auto hosts = static_cast<std::size_t>(*rc::gen::inRange(1, 9));
@@ -49,7 +50,7 @@
     });
 }
 
-TEST_CASE("a host alone has some repeats before it has had any request", "[routing]")
+TEST_CASE("a host has some retries before it has had any request", "[routing]")
 {
     RetryShare share({0.2, 52, seconds(10)});
     CHECK(share.take(6, start));
