--- a/tests/auto/routing/tst_costobserver.cpp
+++ b/tests/auto/routing/tst_costobserver.cpp
@@ -15,7 +15,8 @@
 constexpr MilliCores capacity = 80;
 constexpr double millisecondsOfProcessor = 0.08;
 
-/// A host that is never idle for \a time does what is reckoned as \a reckoned in each millisecond.
+/// Simulates a host that is never idle for \a time. In each millisecond it does work with the
+/// estimated cost \a expected.
 void keepBusy(CostObserver &observer, Base::TimePoint from, Base::Duration time,
               Base::Duration reckoned)
 {
@@ -33,9 +34,9 @@
     return work;
 }
 
-/// Part of the processor that a host of which all takes \a slowness times as long promises to
-/// streams: of four seconds, after it has been behind for one. So many streams come that refusing
-/// them takes more than the other half.
+/// Returns the share of the processor that a host promises to streams, over four seconds, after it
+/// has been behind for one. All work takes \a slowness times as long as estimated. So many streams
+/// arrive that refusing them uses more than the other half of the processor.
 double promisedPart(double slowness)
 {
     BacklogWatch watch(capacity);
@@ -53,7 +54,7 @@
             ++waiting;
         budget += millisecondsOfProcessor;
         while (budget > 0 && waiting + events > 0) {
-            // In turn: events of taken streams, and what comes in.
+            // The host alternates between the events of admitted streams and new requests.
             if (events > 0 && (events > 20 || waiting == 0)) {
                 --events;
                 watch.noteEvents(1);
@@ -79,9 +80,10 @@
 
 } // namespace
 
-TEST_CASE("what work takes is seen on a host that is never idle", "[routing]")
+TEST_CASE("the cost of work is observed on a host that is never idle", "[routing]")
 {
-    // Guards against costs that hold on one machine only: another one takes three times as long.
+    // Guards against cost estimates that are valid on one machine only, where another one takes
+    // three times as long.
     CostObserver observer(capacity);
     CHECK(observer.factor() == 1);
     observer.noteIdle(start);
@@ -93,9 +95,9 @@
     CHECK(observer.factor() < 1.2);
 }
 
-TEST_CASE("a host that has pauses learns nothing from them", "[routing]")
+TEST_CASE("idle time of a host does not change the observed cost", "[routing]")
 {
-    // Guards against an idle host that takes itself for a slow one.
+    // Guards against an idle host that considers itself slow.
     CostObserver observer(capacity);
     for (Base::TimePoint now = start; now < start + seconds(10); now += milliseconds(25)) {
         observer.addWork(microseconds(100));
@@ -105,9 +107,9 @@
     CHECK(observer.factor() == 1);
 }
 
-TEST_CASE("a host that was stopped does not take itself for a slow one", "[routing]")
+TEST_CASE("the suspension of a host does not change the observed cost", "[routing]")
 {
-    // Guards against a host that turns its callers away after it was frozen for ten seconds.
+    // Guards against a host that refuses its callers after it was suspended for ten seconds.
     CostObserver observer(capacity);
     observer.noteIdle(start);
     keepBusy(observer, start, seconds(1), microseconds(80));
@@ -115,10 +117,10 @@
     CHECK(observer.factor() < 1.2);
 }
 
-TEST_CASE("the observed cost has bounds", "[routing]")
+TEST_CASE("the observed cost factor is limited", "[routing]")
 {
-    // Guards against a host that never again takes a stream, or so many that callers wait for its
-    // refusals, and for connections.
+    // Guards against a host that never admits a stream again, and against one that admits so many
+    // that callers wait for refusals and connections.
     CostObserver slow(capacity);
     slow.noteIdle(start);
     keepBusy(slow, start, seconds(60), microseconds(0));
@@ -129,22 +131,23 @@
     CHECK(fast.factor() == 1);
 }
 
-TEST_CASE("a slow host promises no more of its processor than another one", "[routing]")
+TEST_CASE("a slow host promises no larger share of its processor than another one", "[routing]")
 {
-    // A host's streams come late for everybody. Cause: where its work takes four times as long as
-    // reckoned, the half of its processor that it promised was all of it, twice.
+    // Guards against a slow host that promises too much. Where work takes four times as long as
+    // estimated, half of the processor as estimated would be twice the whole processor, and all
+    // streams would be late.
     CHECK(promisedPart(1) < 0.65);
     CHECK(promisedPart(4) < 0.7);
 }
 
-TEST_CASE("the load that a slow host reports is what its work takes", "[routing]")
+TEST_CASE("the load that a slow host reports is the actual cost of its work", "[routing]")
 {
-    // Guards against a fleet of slow hosts that names too few of them to callers.
+    // Guards against a fleet of slow hosts that lists too few entry hosts.
     ForwardingMeter meter;
     meter.setCostFactor(4);
     for (Base::TimePoint now = start; now < start + seconds(20); now += milliseconds(10))
         meter.addRequest(now);
-    // A hundred requests of half a millisecond in each second.
+    // The load is a hundred requests of half a millisecond in each second.
     CHECK(meter.load(start + seconds(20)) >= 48);
     CHECK(meter.load(start + seconds(20)) <= 52);
 }
