--- a/tests/auto/routing/tst_fleetfairness.cpp
+++ b/tests/auto/routing/tst_fleetfairness.cpp
@@ -23,7 +23,7 @@
     return load;
 }
 
-/// Empty if nobody was held down.
+/// Returns a description of an underserved customer, or an empty text if there is none.
 std::string heldDownIn(const FleetScenario &scenario)
 {
     FleetModel model(scenario);
@@ -33,7 +33,7 @@
 }
 
 /// A large customer floods, then a second one, then a small one, while more and more hosts are
-/// named.
+/// listed.
 FleetScenario floodsInTurn()
 {
     FleetScenario scenario;
@@ -49,7 +49,7 @@
     return scenario;
 }
 
-/// Where the callers of a customer are.
+/// The hosts that a customer's callers use.
 enum class CallersAt { NamedHosts, AnyHosts };
 
 CustomerLoad drawCustomer(const std::string &name, double requestsPerSecond, CallersAt callersAt,
@@ -96,9 +96,10 @@
 
 } // namespace
 
-TEST_CASE("floods that begin one after the other hold nobody down", "[routing]")
+TEST_CASE("floods that begin one after the other leave no customer underserved", "[routing]")
 {
-    // Guards against hosts that all let in a customer at the same moment, on sums that are late.
+    // Guards against hosts that all admit a customer at the same moment because their sums are out
+    // of date.
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         FleetScenario scenario = floodsInTurn();
         scenario.seed = seed;
@@ -107,17 +108,16 @@
     }
 }
 
-TEST_CASE("nobody is held down whatever the hosts' speed and the customers' work",
+TEST_CASE("no customer is underserved, whatever the hosts' speed and the customers' requests",
           "[routing][fleet]")
 {
     // Guards against a customer that gets less than half of what the best served one gets.
-    rc::prop("callers go to the hosts that are named",
-             [] { checkNobodyIsHeldDown(CallersAt::NamedHosts); });
+    rc::prop("callers use the listed hosts", [] { checkNobodyIsHeldDown(CallersAt::NamedHosts); });
 }
 
-TEST_CASE("nobody is held down though callers stay with their hosts", "[routing][fleet]")
+TEST_CASE("no customer is underserved if callers stay with their hosts", "[routing][fleet]")
 {
     // Guards against a customer whose callers all stay with one host that is behind.
-    rc::prop("callers stay with one host, with three, or go to the hosts that are named",
+    rc::prop("callers stay with one host, stay with three, or use the listed hosts",
              [] { checkNobodyIsHeldDown(CallersAt::AnyHosts); });
 }
