--- a/tests/auto/routing/fairnessjudge.h
+++ b/tests/auto/routing/fairnessjudge.h
@@ -7,7 +7,8 @@
 #include <string>
 #include <vector>
 
-/// A customer that was held down, and for how long since the beginning.
+/// A customer that was underserved, with the second in which this began and the amounts of the
+/// following six seconds in tokens.
 struct HeldDown
 {
     std::size_t customer = 0;
@@ -17,9 +18,11 @@
     double bestGot = 0;
 };
 
-/// Whether some customer was held down for six seconds on end: in each of them a request of its was
-/// refused or began late, and in all it got less than half of what it asked for or the best served
-/// one got, whichever is less second by second, three of its largest requests left out.
+/// Checks whether some customer was underserved for six seconds in a row. That is the case if, in
+/// each of these seconds, one of its requests was refused or started late, and if it got less than
+/// half of the tokens due to it in total. For each second, the tokens due are the smaller of what
+/// the customer asked for and what the best served customer got. Three of its largest requests are
+/// tolerated.
 class FairnessJudge
 {
 public:
@@ -27,7 +30,7 @@
 
     void asked(std::size_t customer, double tokens, Base::Duration at);
     void got(std::size_t customer, double tokens, Base::Duration at);
-    /// A request was refused, or began after its target.
+    /// Records that a request was refused, or started after its target.
     void waited(std::size_t customer, Base::Duration at);
 
     std::optional<HeldDown> heldDown() const;
