--- a/tests/auto/routing/fleetmodel.cpp
+++ b/tests/auto/routing/fleetmodel.cpp
@@ -11,14 +11,14 @@
 constexpr Base::Duration advanceInterval = milliseconds(25);
 constexpr Base::Duration reportInterval = milliseconds(200);
 constexpr Base::Duration nameInterval = milliseconds(500);
-/// Of the report of a host to a leader, and of the leader's sums.
+/// The delay of a host's report to a leader plus that of the leader's sums.
 constexpr Base::Duration reportDelay = milliseconds(250);
-/// A caller leaves whose request is not read within this time.
+/// A caller disconnects if its request is not read within this time.
 constexpr Base::Duration mostUnread = std::chrono::seconds(1);
 constexpr Base::Duration target = std::chrono::seconds(1);
 constexpr Base::Duration eventInterval = milliseconds(60);
 constexpr double tokensPerMs = 40;
-/// Milliseconds of the processor.
+/// The costs are processor time in milliseconds.
 constexpr double requestCost = 0.125;
 constexpr double eventCost = 0.04;
 constexpr double refusalCost = 0.08;
--- a/tests/auto/routing/fleetmodel.h
+++ b/tests/auto/routing/fleetmodel.h
@@ -11,19 +11,20 @@
 #include <string>
 #include <vector>
 
-/// What a customer's callers ask for.
+/// The load that a customer's callers produce.
 struct CustomerLoad
 {
     std::string name;
     double requestsPerSecond = 1;
     std::uint32_t promptTokens = 8000;
-    /// Events of an answer, and the tokens that the caller allows.
+    /// The number of events of an answer, and the number of tokens that the caller allows.
     unsigned events = 10;
     std::uint32_t outputTokens = 200;
-    /// Its callers stay with this many hosts, from \a firstHost on; 0: with all that are named.
+    /// The callers stay with this many hosts, beginning with \a firstHost. If it is 0, they use all
+    /// listed hosts.
     std::size_t hosts = 0;
     std::size_t firstHost = 0;
-    /// From then until then it asks this many times as much.
+    /// From \a floodFrom until \a floodTo, the customer sends \a flood times as many requests.
     Base::Duration floodFrom{};
     Base::Duration floodTo{};
     double flood = 1;
@@ -32,28 +33,30 @@
 struct FleetScenario
 {
     std::size_t hosts = 24;
-    /// Named to callers at first; two more each half second while anybody floods.
+    /// The number of hosts that callers are told to use at first. Two more are listed every half
+    /// second while a customer floods.
     std::size_t namedHosts = 8;
     std::size_t engines = 24;
     std::vector<CustomerLoad> customers;
-    /// Of a host's processor, and how many times longer its work takes than usual.
+    /// The share of a host's processor that is available, and the ratio of the actual to the
+    /// estimated cost of its work.
     double processorShare = 0.12;
     double slowness = 1;
-    /// What the configuration tells of the throughput, of what the engines can do.
+    /// The throughput in the configuration, as a share of what the engines can do.
     double toldPart = 0.6;
-    /// Part of the reports that are lost.
+    /// The share of the reports that are lost.
     double reportLoss = 0.02;
     Base::Duration length = std::chrono::seconds(16);
     std::uint64_t seed = 1;
 };
 
-/// Hosts before engines in virtual time, with reports that come late or not at all and a processor
-/// of each host that all its work takes time of.
+/// Simulates hosts and engines in virtual time. Reports arrive late or not at all, and all work of
+/// a host uses its limited processor time.
 class FleetModel
 {
 public:
     explicit FleetModel(const FleetScenario &scenario);
-    /// Plays the whole scenario.
+    /// Runs the whole scenario.
     void play();
     const FairnessJudge &judge() const { return m_judge; }
 
@@ -67,7 +70,7 @@
         bool isRetry = false;
         bool isBegun = false;
     };
-    /// What a host's processor has before it.
+    /// An item of work that waits for a host's processor.
     struct Task
     {
         enum class Kind { Request, FirstEvent, Event, End } kind = Kind::Request;
@@ -82,7 +85,7 @@
         std::deque<Task> tasks;
         double budgetMs = 0;
         Routing::HostLoad reported;
-        /// The sums that are on their way, with when they arrive.
+        /// The summed reports that are on their way, with their time of arrival.
         std::deque<std::pair<Base::TimePoint, Routing::OthersLoad>> coming;
     };
 
@@ -91,7 +94,7 @@
     std::size_t hostFor(const CustomerLoad &load);
     void arrive(std::size_t customer, bool isRetry, Base::TimePoint firstAsked);
     void work(std::size_t host);
-    /// Milliseconds of the processor that it took.
+    /// Returns the processor time in milliseconds that the task took.
     double perform(std::size_t host, const Task &task);
     double receive(std::size_t host, Routing::WorkId id);
     Routing::Work workOf(Routing::WorkId id, const CustomerLoad &load) const;
@@ -109,7 +112,7 @@
     std::vector<double> m_due;
     std::map<Base::ServerId, Base::TimePoint> m_freeAt;
     std::map<Routing::WorkId, Request> m_requests;
-    /// What comes to hosts at a time: events of engines, and callers who come back.
+    /// The events that reach hosts at a given time, from engines and from callers who try again.
     std::multimap<Base::TimePoint, std::pair<std::size_t, Task>> m_events;
     std::multimap<Base::TimePoint, Request> m_retries;
     Routing::WorkId m_lastId = 0;
