--- a/tests/auto/routing/tst_retrypause.cpp
+++ b/tests/auto/routing/tst_retrypause.cpp
@@ -5,12 +5,11 @@
 using namespace Routing;
 using std::chrono::milliseconds;
 
-TEST_CASE("pauses between failures double up to a bound and begin anew after a success",
+TEST_CASE("pauses between failures double up to a maximum and start again after a success",
           "[routing]")
 {
-    // The store is down for five seconds and refuses at once. Sixty hosts call it four times a
-    // second each, with each of two connections. Cause: the pause after a failure was always the
-    // same.
+    // Guards against a constant pause after failures. While the store is down for five seconds and
+    // refuses at once, sixty hosts would call it four times per second on each of two connections.
     RetryPause pause(milliseconds(250), milliseconds(1000));
     CHECK(pause.next() == milliseconds(250));
     CHECK(pause.next() == milliseconds(500));
