--- a/tests/auto/routing/tst_routetable.cpp
+++ b/tests/auto/routing/tst_routetable.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix that begins the path decides", "[routing]")
+TEST_CASE("the route with the longest prefix of the path is used", "[routing]")
 {
     const auto table = RouteTable::create(twoHosts());
     CHECK(table->find("a.example", "/cars/1")->name == "wide");
@@ -45,7 +45,7 @@
     CHECK(table->find("c.example", "/") == nullptr);
 }
 
-TEST_CASE("each of a customer's keys names it, and nothing else does", "[routing]")
+TEST_CASE("each of a customer's keys identifies it, and nothing else does", "[routing]")
 {
     const auto table = RouteTable::create(twoHosts());
     CHECK(table->customerByKey("key-2")->id.value() == "dealer");
@@ -59,7 +59,7 @@
 
 TEST_CASE("a split route spreads requests by weight", "[routing]")
 {
-    rc::prop("every draw goes to a service with a weight, in proportion", [] {
+    rc::prop("each service gets requests in proportion to its weight", [] {
         Route it = route("split", "a.example", "/");
         it.services = {{"x", *rc::gen::inRange(0U, 5U)}, {"y", *rc::gen::inRange(1U, 5U)}};
         std::map<std::string, std::uint64_t> counts;
