--- a/src/libs/routing/backlogwatch.cpp
+++ b/src/libs/routing/backlogwatch.cpp
@@ -127,7 +127,7 @@
     m_asked.addTo(asked, now);
     constexpr double microsecondsOfSecond = 1e6;
     const double capacity =
-        m_capacity / milliCoresOfCore * FadingMeter::meanSeconds() * microsecondsOfSecond;
+        m_capacity / milliCoresOfCore * DecayingSum::timeConstantSeconds() * microsecondsOfSecond;
     m_choosyLevel = fairLevel(asked, capacity);
     m_rationedLevel = fairLevel(asked, capacity * streamShare);
 }
--- a/src/libs/routing/backlogwatch.h
+++ b/src/libs/routing/backlogwatch.h
@@ -79,8 +79,8 @@
     std::map<Base::CustomerId, double> m_usualDensities;
     /// The processor time in microseconds of the streams that each customer requested, and of those
     /// that were admitted.
-    FadingMeter m_asked;
-    FadingMeter m_taken;
+    DecayingSum m_asked;
+    DecayingSum m_taken;
     /// The limits for the recently admitted processor time of one customer, on a host that is
     /// behind and on one that is far behind.
     double m_choosyLevel = 0;
--- a/src/libs/routing/customershares.h
+++ b/src/libs/routing/customershares.h
@@ -94,11 +94,11 @@
     const OthersLoad *m_others = nullptr;
     double m_tokensPerSecond = 0;
     double m_crowding = 0;
-    FadingMeter m_asked;
-    FadingMeter m_received;
-    FadingMeter m_begun;
+    DecayingSum m_asked;
+    DecayingSum m_received;
+    DecayingSum m_begun;
     /// The time in seconds in which anything was asked for, with the decay of the sums above.
-    FadingMeter m_askedSeconds;
+    DecayingSum m_askedSeconds;
     double m_shareLevel = 0;
     /// The history of this host's demand. Its first entry is as old as the reports of the other
     /// hosts, so that the parts of all hosts add up to one.
--- a/src/libs/routing/fadingmeter.h
+++ b/src/libs/routing/fadingmeter.h
@@ -10,29 +10,29 @@
 
 /// Sums up recent amounts of each customer with exponential decay. A steady rate of r per second
 /// has the value r * timeConstantSeconds().
-class FadingMeter
+class DecayingSum
 {
 public:
     void add(const Base::CustomerId &customer, double amount, Base::TimePoint now)
     {
         Entry &entry = m_entries[customer];
-        entry = {faded(entry, now) + amount, now};
+        entry = {decayed(entry, now) + amount, now};
     }
     double value(const Base::CustomerId &customer, Base::TimePoint now) const
     {
         const auto it = m_entries.find(customer);
-        return it == m_entries.end() ? 0 : faded(it->second, now);
+        return it == m_entries.end() ? 0 : decayed(it->second, now);
     }
     /// Adds all amounts to \a sums, except those that have decayed to below 1.
     void addTo(std::map<Base::CustomerId, double> &sums, Base::TimePoint now) const
     {
         for (const auto &[customer, entry] : m_entries) {
-            const double value = faded(entry, now);
+            const double value = decayed(entry, now);
             if (value >= 1)
                 sums[customer] += value;
         }
     }
-    static double meanSeconds()
+    static double timeConstantSeconds()
     {
         return std::chrono::duration<double>(halfLife).count() / std::log(2.0);
     }
@@ -49,7 +49,7 @@
     /// following four seconds.
     static constexpr Base::Duration halfLife = std::chrono::milliseconds(1400);
 
-    static double faded(const Entry &entry, Base::TimePoint now)
+    static double decayed(const Entry &entry, Base::TimePoint now)
     {
         return entry.amount
                * std::exp2(-static_cast<double>((now - entry.at).count())
--- a/src/libs/routing/forwardingmeter.h
+++ b/src/libs/routing/forwardingmeter.h
@@ -35,7 +35,8 @@
     MilliCores load(Base::TimePoint now) const
     {
         constexpr double microsecondsPerMilliCoreSecond = 1000;
-        return static_cast<MilliCores>(faded(now) / meanSeconds() / microsecondsPerMilliCoreSecond);
+        return static_cast<MilliCores>(decayed(now) / timeConstantSeconds()
+                                       / microsecondsPerMilliCoreSecond);
     }
 
 private:
@@ -43,16 +44,16 @@
     /// the time for which callers keep a list of hosts.
     static constexpr Base::Duration halfLife = std::chrono::milliseconds(1400);
 
-    static double meanSeconds()
+    static double timeConstantSeconds()
     {
         return std::chrono::duration<double>(halfLife).count() / std::log(2.0);
     }
     void add(double microseconds, Base::TimePoint now)
     {
-        m_microseconds = faded(now) + microseconds * m_costFactor;
+        m_microseconds = decayed(now) + microseconds * m_costFactor;
         m_at = now;
     }
-    double faded(Base::TimePoint now) const
+    double decayed(Base::TimePoint now) const
     {
         if (m_microseconds <= 0)
             return 0;
--- a/src/libs/routing/serverhealth.cpp
+++ b/src/libs/routing/serverhealth.cpp
@@ -65,12 +65,12 @@
 
 double ServerHealth::failureShare(Base::TimePoint now) const
 {
-    return faded(m_failures, 0, m_failedAt, now);
+    return decayed(m_failures, 0, m_failedAt, now);
 }
 
 double ServerHealth::slowness(Base::TimePoint now) const
 {
-    return faded(m_slowness, 1, m_timedAt, now);
+    return decayed(m_slowness, 1, m_timedAt, now);
 }
 
 void ServerHealth::leaveAlone(Base::Duration pause, Base::TimePoint now)
@@ -79,8 +79,8 @@
     m_usableAt = std::max(m_usableAt, now + m_pause);
 }
 
-double ServerHealth::faded(double value, double rest, Base::TimePoint since,
-                           Base::TimePoint now) const
+double ServerHealth::decayed(double value, double rest, Base::TimePoint since,
+                             Base::TimePoint now) const
 {
     if (since == Base::TimePoint::min())
         return value;
--- a/src/libs/routing/serverhealth.h
+++ b/src/libs/routing/serverhealth.h
@@ -31,7 +31,7 @@
 
 private:
     void leaveAlone(Base::Duration pause, Base::TimePoint now);
-    double faded(double value, double rest, Base::TimePoint since, Base::TimePoint now) const;
+    double decayed(double value, double rest, Base::TimePoint since, Base::TimePoint now) const;
 
     double m_failures = 0;
     double m_slowness = 1;
