--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -166,7 +166,7 @@
     const OthersLoad *m_others = nullptr;
     std::map<Base::ServerId, ServerState> m_servers;
     std::unordered_map<WorkId, Placed> m_placed;
-    FairWaiting m_waiting;
+    FairWaitQueue m_waiting;
     std::vector<PartUse> m_partUses;
     /// The tokens of the current request's prompt that each server has cached, in the order of
     /// m_servers.
--- a/src/libs/routing/fairwaiting.cpp
+++ b/src/libs/routing/fairwaiting.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void FairWaiting::push(Work work)
+void FairWaitQueue::push(Work work)
 {
     ++m_size;
     m_tokens += work.promptTokens;
@@ -24,7 +24,7 @@
     waiting.insert(place, std::move(work));
 }
 
-std::optional<Work> FairWaiting::takeNext(const Received &received)
+std::optional<Work> FairWaitQueue::takeNext(const Received &received)
 {
     auto next = m_byCustomer.end();
     double least = 0;
@@ -45,12 +45,12 @@
     return work;
 }
 
-bool FairWaiting::remove(WorkId id)
+bool FairWaitQueue::remove(WorkId id)
 {
     return !takeIf([id](const Work &work) { return work.id == id; }).empty();
 }
 
-std::vector<Work> FairWaiting::takeIf(const std::function<bool(const Work &)> &isHopeless)
+std::vector<Work> FairWaitQueue::takeIf(const std::function<bool(const Work &)> &isHopeless)
 {
     std::vector<Work> taken;
     for (auto it = m_byCustomer.begin(); it != m_byCustomer.end();) {
@@ -67,7 +67,7 @@
     return taken;
 }
 
-std::uint64_t FairWaiting::tokensOf(const Base::CustomerId &customer) const
+std::uint64_t FairWaitQueue::tokensOf(const Base::CustomerId &customer) const
 {
     const auto it = m_byCustomer.find(customer);
     if (it == m_byCustomer.end())
@@ -78,7 +78,7 @@
     return sum;
 }
 
-void FairWaiting::forget(const Work &work)
+void FairWaitQueue::forget(const Work &work)
 {
     --m_size;
     m_tokens -= work.promptTokens;
--- a/src/libs/routing/fairwaiting.h
+++ b/src/libs/routing/fairwaiting.h
@@ -16,7 +16,7 @@
 /// served before everybody else's. Here the customer that has received least is next, so a flood
 /// waits behind itself. Within a customer, requests with a more urgent priority go first, and then
 /// those that must start first.
-class FairWaiting
+class FairWaitQueue
 {
 public:
     /// Returns the service that a customer has recently received in the whole fleet.
--- a/tests/auto/routing/tst_fairness.cpp
+++ b/tests/auto/routing/tst_fairness.cpp
@@ -414,7 +414,7 @@
 TEST_CASE("the customer that received least is next, and its most urgent request is first",
           "[routing]")
 {
-    FairWaiting waiting;
+    FairWaitQueue waiting;
     Work urgent = work(3, "large", start);
     urgent.priority = 0;
     Work later = work(2, "large", start);
