--- a/src/libs/routing/customerpacer.cpp
+++ b/src/libs/routing/customerpacer.cpp
@@ -24,13 +24,14 @@
 
 } // namespace
 
-double CustomerPacer::creditAt(const Allowance &allowance, Base::TimePoint now)
+double CustomerRateLimiter::creditAt(const Allowance &allowance, Base::TimePoint now)
 {
     const double earned = allowance.tokensPerSecond * seconds(now - allowance.at);
     return std::min(allowance.credit + earned, allowance.tokensPerSecond * seconds(creditSpan));
 }
 
-void CustomerPacer::setRates(const std::map<Base::CustomerId, double> &rates, Base::TimePoint now)
+void CustomerRateLimiter::setRates(const std::map<Base::CustomerId, double> &rates,
+                                   Base::TimePoint now)
 {
     std::map<Base::CustomerId, Allowance> allowances;
     for (const auto &[customer, rate] : rates) {
@@ -43,13 +44,14 @@
     m_allowances = std::move(allowances);
 }
 
-bool CustomerPacer::mayPass(const Base::CustomerId &customer, Base::TimePoint now) const
+bool CustomerRateLimiter::isAllowed(const Base::CustomerId &customer, Base::TimePoint now) const
 {
     const auto it = m_allowances.find(customer);
     return it == m_allowances.end() || creditAt(it->second, now) > 0;
 }
 
-void CustomerPacer::charge(const Base::CustomerId &customer, double tokens, Base::TimePoint now)
+void CustomerRateLimiter::charge(const Base::CustomerId &customer, double tokens,
+                                 Base::TimePoint now)
 {
     const auto it = m_allowances.find(customer);
     if (it == m_allowances.end())
--- a/src/libs/routing/customerpacer.h
+++ b/src/libs/routing/customerpacer.h
@@ -14,13 +14,13 @@
 /// would therefore admit several seconds' worth at once and nothing for the following seconds, and
 /// everybody's requests would start late behind it. With a rate of its own, no host depends on
 /// reports of the others: the rates of all hosts add up to the customer's level.
-class CustomerPacer
+class CustomerRateLimiter
 {
 public:
     /// Sets the rates in tokens per second of all customers that are limited. Customers without a
     /// rate are not limited. The rates replace all earlier ones.
     void setRates(const std::map<Base::CustomerId, double> &rates, Base::TimePoint now);
-    bool mayPass(const Base::CustomerId &customer, Base::TimePoint now) const;
+    bool isAllowed(const Base::CustomerId &customer, Base::TimePoint now) const;
     /// Charges an admitted request of \a tokens. The charge may exceed the remaining credit, so
     /// that large requests are not starved; later requests then wait longer.
     void charge(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
--- a/src/libs/routing/customershares.cpp
+++ b/src/libs/routing/customershares.cpp
@@ -73,10 +73,10 @@
     m_received.add(customer, tokens, now);
 }
 
-void CustomerShares::recordLetIn(const Base::CustomerId &customer, double tokens,
-                                 Base::TimePoint now)
+void CustomerShares::recordAdmitted(const Base::CustomerId &customer, double tokens,
+                                    Base::TimePoint now)
 {
-    m_pacer.charge(customer, tokens, now);
+    m_rateLimiter.charge(customer, tokens, now);
 }
 
 void CustomerShares::recordStarted(const Base::CustomerId &customer, double tokens,
@@ -101,7 +101,7 @@
     const double share = shareLevel(now);
     if (has < share * freePart)
         return Admission::WithinShare;
-    if (!m_pacer.mayPass(customer, now))
+    if (!m_rateLimiter.isAllowed(customer, now))
         return Admission::Refused;
     if (has < share)
         return Admission::WithinShare;
@@ -206,7 +206,7 @@
     // A single customer has nobody to share the capacity with.
     if (asked.size() == 1)
         rates.clear();
-    m_pacer.setRates(rates, now);
+    m_rateLimiter.setRates(rates, now);
 }
 
 double CustomerShares::ownPart(const Base::CustomerId &customer) const
--- a/src/libs/routing/customershares.h
+++ b/src/libs/routing/customershares.h
@@ -49,7 +49,7 @@
     void recordSent(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
     /// Records that a request was placed or may wait here. \a tokens is negative for a request that
     /// was recorded before and was not served after all.
-    void recordLetIn(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
+    void recordAdmitted(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
     /// Records that the first event of a request came.
     void recordStarted(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
     void report(HostLoad &load, Base::TimePoint now) const;
@@ -103,7 +103,7 @@
     /// The history of this host's demand. Its first entry is as old as the reports of the other
     /// hosts, so that the parts of all hosts add up to one.
     std::deque<AskedThen> m_askedThen;
-    CustomerPacer m_pacer;
+    CustomerRateLimiter m_rateLimiter;
     /// The served tokens of the least served customer among those that ask for more than they get.
     /// Tokens count from the first event and not from sending: a host that is behind sends requests
     /// to servers but does not process the answers in time. If tokens counted from sending, others
--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -134,7 +134,7 @@
     const std::optional<Choice> choice = choose(work, now, admission, takesAny);
     if (choice && choice->hasRoom) {
         if (!isBack)
-            m_shares.recordLetIn(work.customer, tokensOf(work), now);
+            m_shares.recordAdmitted(work.customer, tokensOf(work), now);
         place(std::move(work), *choice, now, decisions);
         return decisions;
     }
@@ -152,7 +152,7 @@
         // A server that has to read more of the prompt is better than none.
         if (const std::optional<Choice> any = choose(work, now, admission, true)) {
             if (!isBack)
-                m_shares.recordLetIn(work.customer, tokensOf(work), now);
+                m_shares.recordAdmitted(work.customer, tokensOf(work), now);
             place(std::move(work), *any, now, decisions);
             return decisions;
         }
@@ -162,7 +162,7 @@
     if (choice)
         choice->state->awaitedTokens += choice->unreadTokens;
     if (!isBack)
-        m_shares.recordLetIn(work.customer, tokensOf(work), now);
+        m_shares.recordAdmitted(work.customer, tokensOf(work), now);
     m_waiting.push(std::move(work));
     return decisions;
 }
@@ -481,7 +481,7 @@
             continue;
         }
         if (work.tried.empty())
-            m_shares.recordLetIn(work.customer, -tokensOf(work), now);
+            m_shares.recordAdmitted(work.customer, -tokensOf(work), now);
         decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::TooLate, now));
     }
 }
--- a/tests/auto/routing/tst_customerpacer.cpp
+++ b/tests/auto/routing/tst_customerpacer.cpp
@@ -14,13 +14,14 @@
 
 /// Returns the tokens that are admitted within \a span if a request of \a tokens arrives each
 /// millisecond.
-double letIn(CustomerPacer &pacer, double tokens, Base::TimePoint from, Base::Duration span)
+double admittedTokens(CustomerRateLimiter &limiter, double tokens, Base::TimePoint from,
+                      Base::Duration span)
 {
     double sum = 0;
     for (Base::TimePoint now = from; now < from + span; now += milliseconds(1)) {
-        if (!pacer.mayPass(customer, now))
+        if (!limiter.isAllowed(customer, now))
             continue;
-        pacer.charge(customer, tokens, now);
+        limiter.charge(customer, tokens, now);
         sum += tokens;
     }
     return sum;
@@ -34,9 +35,9 @@
     rc::prop("the total of ten seconds is the rate, give or take one request and the credit", [] {
         const double rate = *rc::gen::inRange(1000, 400000);
         const double tokens = *rc::gen::inRange(100, 60000);
-        CustomerPacer pacer;
-        pacer.setRates({{customer, rate}}, start);
-        const double sum = letIn(pacer, tokens, start, seconds(10));
+        CustomerRateLimiter limiter;
+        limiter.setRates({{customer, rate}}, start);
+        const double sum = admittedTokens(limiter, tokens, start, seconds(10));
         RC_ASSERT(sum >= rate * 9.9 - tokens);
         RC_ASSERT(sum <= rate * 10.7 + tokens);
     });
@@ -44,32 +45,32 @@
 
 TEST_CASE("a customer without a rate is admitted", "[routing]")
 {
-    CustomerPacer pacer;
-    CHECK(pacer.mayPass(customer, start));
-    pacer.setRates({{customer, 1000}}, start);
-    pacer.charge(customer, 50000, start);
-    CHECK_FALSE(pacer.mayPass(customer, start + seconds(1)));
-    pacer.setRates({}, start + seconds(1));
-    CHECK(pacer.mayPass(customer, start + seconds(1)));
+    CustomerRateLimiter limiter;
+    CHECK(limiter.isAllowed(customer, start));
+    limiter.setRates({{customer, 1000}}, start);
+    limiter.charge(customer, 50000, start);
+    CHECK_FALSE(limiter.isAllowed(customer, start + seconds(1)));
+    limiter.setRates({}, start + seconds(1));
+    CHECK(limiter.isAllowed(customer, start + seconds(1)));
 }
 
 TEST_CASE("the debt of a flood that was admitted earlier is limited", "[routing]")
 {
     // Guards against a debt of several seconds, during which a customer would get nothing.
-    CustomerPacer pacer;
-    pacer.setRates({{customer, 10000}}, start);
+    CustomerRateLimiter limiter;
+    limiter.setRates({{customer, 10000}}, start);
     for (int i = 0; i < 20; ++i)
-        pacer.charge(customer, 5000, start);
-    CHECK_FALSE(pacer.mayPass(customer, start + milliseconds(900)));
-    CHECK(pacer.mayPass(customer, start + milliseconds(1100)));
+        limiter.charge(customer, 5000, start);
+    CHECK_FALSE(limiter.isAllowed(customer, start + milliseconds(900)));
+    CHECK(limiter.isAllowed(customer, start + milliseconds(1100)));
 }
 
 TEST_CASE("the charge of a request that is not served is refunded", "[routing]")
 {
-    CustomerPacer pacer;
-    pacer.setRates({{customer, 10000}}, start);
-    pacer.charge(customer, 8000, start);
-    CHECK_FALSE(pacer.mayPass(customer, start));
-    pacer.charge(customer, -8000, start);
-    CHECK(pacer.mayPass(customer, start));
+    CustomerRateLimiter limiter;
+    limiter.setRates({{customer, 10000}}, start);
+    limiter.charge(customer, 8000, start);
+    CHECK_FALSE(limiter.isAllowed(customer, start));
+    limiter.charge(customer, -8000, start);
+    CHECK(limiter.isAllowed(customer, start));
 }
