--- a/src/libs/routing/backlogwatch.cpp
+++ b/src/libs/routing/backlogwatch.cpp
@@ -128,8 +128,8 @@
     constexpr double microsecondsOfSecond = 1e6;
     const double capacity =
         m_capacity / milliCoresOfCore * DecayingSum::timeConstantSeconds() * microsecondsOfSecond;
-    m_choosyLevel = fairLevel(asked, capacity);
-    m_rationedLevel = fairLevel(asked, capacity * streamShare);
+    m_choosyLevel = maxMinLevel(asked, capacity);
+    m_rationedLevel = maxMinLevel(asked, capacity * streamShare);
 }
 
 Base::Duration BacklogWatch::expectedCost(const Work &work) const
--- a/src/libs/routing/customershares.cpp
+++ b/src/libs/routing/customershares.cpp
@@ -150,7 +150,7 @@
     const double seconds = askedSeconds(now);
     // Servers that are lost or slow process less than the configured throughput.
     const double told = m_tokensPerSecond * seconds * (1 + std::min(growth(), 0.0));
-    m_shareLevel = fairLevel(asked, told);
+    m_shareLevel = maxMinLevel(asked, told);
     m_unmetLevel = std::numeric_limits<double>::infinity();
     std::map<Base::CustomerId, Base::TimePoint> unmetSince;
     for (const auto &[customer, amount] : asked) {
@@ -186,7 +186,7 @@
         begun += started(customer, now);
     const double capacity = std::max(m_tokensPerSecond * seconds, begun) * (1 + growth());
     const double bound = m_unmetLevel * rateRatio + unmetTokens;
-    return std::max(m_shareLevel, std::min(fairLevel(asked, capacity), bound));
+    return std::max(m_shareLevel, std::min(maxMinLevel(asked, capacity), bound));
 }
 
 void CustomerShares::updateRates(const std::map<Base::CustomerId, double> &asked, double seconds,
--- a/src/libs/routing/fairlevel.cpp
+++ b/src/libs/routing/fairlevel.cpp
@@ -6,7 +6,7 @@
 
 namespace Routing {
 
-double fairLevel(const std::map<Base::CustomerId, double> &asked, double capacity)
+double maxMinLevel(const std::map<Base::CustomerId, double> &asked, double capacity)
 {
     std::vector<double> amounts;
     amounts.reserve(asked.size());
--- a/tests/auto/routing/tst_fairness.cpp
+++ b/tests/auto/routing/tst_fairness.cpp
@@ -176,7 +176,7 @@
         for (std::size_t i = 0; i < amounts.size(); ++i)
             asked[Base::CustomerId(std::to_string(i))] = amounts[i];
         const double capacity = *rc::gen::inRange(1, 8000);
-        const double level = fairLevel(asked, capacity);
+        const double level = maxMinLevel(asked, capacity);
         double given = 0;
         double sum = 0;
         for (const auto &[customer, amount] : asked) {
