--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -224,7 +224,7 @@
     if (now - m_forgotAt >= forgetInterval) {
         m_forgotAt = now;
         for (auto &[id, state] : m_servers)
-            state.cache.forgetOld(now);
+            state.cache.evictExpired(now);
     }
     if (now - m_measuredAt >= crowdingInterval) {
         m_measuredAt = now;
@@ -257,7 +257,7 @@
     for (const PartUse &use : uses) {
         const auto server = m_servers.find(use.server);
         if (server != m_servers.end())
-            server->second.cache.use(use.hash, now, now + toldReadingTime);
+            server->second.cache.recordUse(use.hash, now, now + toldReadingTime);
     }
 }
 
@@ -269,7 +269,7 @@
     const std::vector<ChainLink> chain = sharedChainOf(work.parts);
     m_kept.clear();
     for (const auto &[id, state] : m_servers)
-        m_kept.push_back(state.cache.keptTokens(chain, now));
+        m_kept.push_back(state.cache.cachedTokens(chain, now));
     const std::uint32_t mostKept = *std::max_element(m_kept.begin(), m_kept.end());
     const bool isNew = !chain.empty() && mostKept < chain.back().tokensSoFar;
     const KeptPrompt prompt{mostKept, isNew ? hashedServer(chain.back().hash) : nullptr,
@@ -292,13 +292,13 @@
 }
 
 Dispatcher::Choice Dispatcher::choiceOf(ServerState &state, const ServerStanding &standing,
-                                        const Work &work, std::uint32_t keptTokens,
+                                        const Work &work, std::uint32_t cachedTokens,
                                         const KeptPrompt &prompt, Base::TimePoint now) const
 {
     Choice choice;
     choice.state = &state;
-    choice.fetch = prompt.fetch.plan(state.server.id, state.server.zone, keptTokens);
-    const std::uint32_t there = keptTokens + (choice.fetch ? choice.fetch->tokens : 0);
+    choice.fetch = prompt.fetch.plan(state.server.id, state.server.zone, cachedTokens);
+    const std::uint32_t there = cachedTokens + (choice.fetch ? choice.fetch->tokens : 0);
     if (m_cost.traits().isEngine)
         choice.unreadTokens = work.promptTokens - std::min(there, work.promptTokens);
     double &cost = choice.milliseconds;
@@ -334,7 +334,7 @@
         if (!state.health.isUsable(now) || wasTried(work, id)
             || state.health.failureShare(now) >= mostKeeperFailures)
             continue;
-        const std::uint32_t tokens = state.cache.readTokens(chain, now);
+        const std::uint32_t tokens = state.cache.fetchableTokens(chain, now);
         if (tokens > 0)
             keepers.push_back({id, state.server.zone, tokens, state.handingOutMilliseconds});
     }
@@ -434,8 +434,8 @@
                               Base::TimePoint readBy)
 {
     for (const ChainLink &link : sharedChainOf(work.parts)) {
-        state.cache.use(link.hash, now, readBy);
-        if (link.tokensSoFar >= leastToldTokens && state.cache.isNews(link.hash, now))
+        state.cache.recordUse(link.hash, now, readBy);
+        if (link.tokensSoFar >= leastToldTokens && state.cache.shouldReport(link.hash, now))
             m_partUses.push_back({state.server.id, link.hash});
     }
 }
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -89,7 +89,7 @@
         /// decision, because a decision looks at all servers.
         ServerLoad others;
         ServerHealth health;
-        PromptCache cache;
+        PromptCacheModel cache;
         /// The prompt tokens of requests that wait here for this server because no other one would
         /// serve them sooner.
         std::uint64_t awaitedTokens = 0;
@@ -134,7 +134,8 @@
                                  bool takesAny = false);
     /// Estimates the cost of the request at a server that has \a cachedTokens of its prompt cached.
     Choice choiceOf(ServerState &state, const ServerStanding &standing, const Work &work,
-                    std::uint32_t keptTokens, const KeptPrompt &prompt, Base::TimePoint now) const;
+                    std::uint32_t cachedTokens, const KeptPrompt &prompt,
+                    Base::TimePoint now) const;
     /// Returns the servers from which others can fetch the beginning of the request's prompt.
     std::vector<PrefixKeeper> keepersOf(const Work &work, const std::vector<ChainLink> &chain,
                                         Base::TimePoint now) const;
--- a/src/libs/routing/prefixfetch.cpp
+++ b/src/libs/routing/prefixfetch.cpp
@@ -32,14 +32,14 @@
 }
 
 std::optional<FetchPlan> PrefixFetch::plan(const Base::ServerId &server, const Base::ZoneId &zone,
-                                           std::uint32_t keptTokens) const
+                                           std::uint32_t cachedTokens) const
 {
     std::optional<FetchPlan> best;
     double mostSaved = 0;
     for (const PrefixKeeper &keeper : m_keepers) {
-        if (keeper.server == server || keeper.tokens <= keptTokens)
+        if (keeper.server == server || keeper.tokens <= cachedTokens)
             continue;
-        const std::uint32_t tokens = keeper.tokens - keptTokens;
+        const std::uint32_t tokens = keeper.tokens - cachedTokens;
         const double fetching =
             m_cost->fetchMilliseconds(tokens, keeper.zone != zone) + keeper.busyMilliseconds;
         const double saved =
--- a/src/libs/routing/prefixfetch.h
+++ b/src/libs/routing/prefixfetch.h
@@ -46,7 +46,7 @@
     /// Returns the best fetch for \a server in \a zone that has \a cachedTokens itself, or nothing
     /// if reading is cheaper.
     std::optional<FetchPlan> plan(const Base::ServerId &server, const Base::ZoneId &zone,
-                                  std::uint32_t keptTokens) const;
+                                  std::uint32_t cachedTokens) const;
 
 private:
     const ServerCost *m_cost;
--- a/src/libs/routing/promptcache.cpp
+++ b/src/libs/routing/promptcache.cpp
@@ -39,8 +39,8 @@
     return chain;
 }
 
-std::uint32_t PromptCache::keptTokens(const std::vector<ChainLink> &chain,
-                                      Base::TimePoint now) const
+std::uint32_t PromptCacheModel::cachedTokens(const std::vector<ChainLink> &chain,
+                                             Base::TimePoint now) const
 {
     std::uint32_t kept = 0;
     for (const ChainLink &link : chain) {
@@ -52,8 +52,8 @@
     return kept;
 }
 
-std::uint32_t PromptCache::readTokens(const std::vector<ChainLink> &chain,
-                                      Base::TimePoint now) const
+std::uint32_t PromptCacheModel::fetchableTokens(const std::vector<ChainLink> &chain,
+                                                Base::TimePoint now) const
 {
     std::uint32_t read = 0;
     for (const ChainLink &link : chain) {
@@ -65,7 +65,7 @@
     return read;
 }
 
-void PromptCache::use(std::uint64_t hash, Base::TimePoint now, Base::TimePoint readBy)
+void PromptCacheModel::recordUse(std::uint64_t hash, Base::TimePoint now, Base::TimePoint readBy)
 {
     const auto [it, isNew] = m_entries.try_emplace(hash);
     Entry &entry = it->second;
@@ -74,7 +74,7 @@
     entry.usedAt = now;
 }
 
-bool PromptCache::isNews(std::uint64_t hash, Base::TimePoint now)
+bool PromptCacheModel::shouldReport(std::uint64_t hash, Base::TimePoint now)
 {
     const auto it = m_entries.find(hash);
     if (it == m_entries.end())
@@ -86,7 +86,7 @@
     return true;
 }
 
-void PromptCache::forgetOld(Base::TimePoint now)
+void PromptCacheModel::evictExpired(Base::TimePoint now)
 {
     for (auto it = m_entries.begin(); it != m_entries.end();) {
         if (now - it->second.usedAt < keptFor) {
@@ -97,7 +97,7 @@
     }
 }
 
-void PromptCache::clear()
+void PromptCacheModel::clear()
 {
     m_entries.clear();
 }
--- a/src/libs/routing/promptcache.h
+++ b/src/libs/routing/promptcache.h
@@ -28,22 +28,22 @@
 /// depends on requests that this host does not see, so a part counts as cached for a fixed time
 /// after its last use. The prompts of single requests fill the memory of a busy server in ten
 /// seconds or more.
-class PromptCache
+class PromptCacheModel
 {
 public:
     /// Returns the number of tokens of the longest prefix that the server need not read again.
-    std::uint32_t keptTokens(const std::vector<ChainLink> &chain, Base::TimePoint now) const;
+    std::uint32_t cachedTokens(const std::vector<ChainLink> &chain, Base::TimePoint now) const;
     /// Returns the number of those tokens that the server has read by now, so that others can fetch
     /// them.
-    std::uint32_t readTokens(const std::vector<ChainLink> &chain, Base::TimePoint now) const;
+    std::uint32_t fetchableTokens(const std::vector<ChainLink> &chain, Base::TimePoint now) const;
     /// Records that a prompt with the prefix was sent to the server, which will have read it by \a
     /// readBy.
-    void use(std::uint64_t hash, Base::TimePoint now, Base::TimePoint readBy);
+    void recordUse(std::uint64_t hash, Base::TimePoint now, Base::TimePoint readBy);
     /// Returns whether a use should be reported to the other hosts, because they do not know of the
     /// prefix or will soon consider it evicted. The use then counts as reported, so the next call
     /// returns false.
-    bool isNews(std::uint64_t hash, Base::TimePoint now);
-    void forgetOld(Base::TimePoint now);
+    bool shouldReport(std::uint64_t hash, Base::TimePoint now);
+    void evictExpired(Base::TimePoint now);
     void clear();
 
 private:
