--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -266,14 +266,14 @@
 {
     if (m_servers.empty())
         return std::nullopt;
-    const std::vector<ChainLink> chain = sharedChainOf(work.parts);
+    const std::vector<PrefixHash> prefixes = sharedPrefixHashes(work.parts);
     m_kept.clear();
     for (const auto &[id, state] : m_servers)
-        m_kept.push_back(state.cache.cachedTokens(chain, now));
+        m_kept.push_back(state.cache.cachedTokens(prefixes, now));
     const std::uint32_t mostKept = *std::max_element(m_kept.begin(), m_kept.end());
-    const bool isNew = !chain.empty() && mostKept < chain.back().tokensSoFar;
-    const KeptPrompt prompt{mostKept, isNew ? hashedServer(chain.back().hash) : nullptr,
-                            PrefixFetch(m_cost, keepersOf(work, chain, now))};
+    const bool isNew = !prefixes.empty() && mostKept < prefixes.back().tokensSoFar;
+    const KeptPrompt prompt{mostKept, isNew ? hashedServer(prefixes.back().hash) : nullptr,
+                            PrefixFetch(m_cost, keepersOf(work, prefixes, now))};
     std::optional<Choice> best;
     auto keptHere = m_kept.begin();
     for (auto &[id, state] : m_servers) {
@@ -322,11 +322,11 @@
 }
 
 std::vector<PrefixKeeper> Dispatcher::keepersOf(const Work &work,
-                                                const std::vector<ChainLink> &chain,
+                                                const std::vector<PrefixHash> &prefixes,
                                                 Base::TimePoint now) const
 {
     std::vector<PrefixKeeper> keepers;
-    if (chain.empty() || !m_cost.traits().moveMsPerToken)
+    if (prefixes.empty() || !m_cost.traits().moveMsPerToken)
         return keepers;
     for (const auto &[id, state] : m_servers) {
         // A fetch from a server that failed this request, or other requests recently, would hang or
@@ -334,7 +334,7 @@
         if (!state.health.isUsable(now) || wasTried(work, id)
             || state.health.failureShare(now) >= mostKeeperFailures)
             continue;
-        const std::uint32_t tokens = state.cache.fetchableTokens(chain, now);
+        const std::uint32_t tokens = state.cache.fetchableTokens(prefixes, now);
         if (tokens > 0)
             keepers.push_back({id, state.server.zone, tokens, state.handingOutMilliseconds});
     }
@@ -433,10 +433,10 @@
 void Dispatcher::notePartUses(ServerState &state, const Work &work, Base::TimePoint now,
                               Base::TimePoint readBy)
 {
-    for (const ChainLink &link : sharedChainOf(work.parts)) {
-        state.cache.recordUse(link.hash, now, readBy);
-        if (link.tokensSoFar >= leastToldTokens && state.cache.shouldReport(link.hash, now))
-            m_partUses.push_back({state.server.id, link.hash});
+    for (const PrefixHash &prefix : sharedPrefixHashes(work.parts)) {
+        state.cache.recordUse(prefix.hash, now, readBy);
+        if (prefix.tokensSoFar >= leastToldTokens && state.cache.shouldReport(prefix.hash, now))
+            m_partUses.push_back({state.server.id, prefix.hash});
     }
 }
 
--- a/src/libs/routing/promptcache.cpp
+++ b/src/libs/routing/promptcache.cpp
@@ -15,10 +15,10 @@
 
 } // namespace
 
-std::vector<ChainLink> chainOf(const std::vector<PromptPart> &parts)
+std::vector<PrefixHash> prefixHashes(const std::vector<PromptPart> &parts)
 {
-    std::vector<ChainLink> chain;
-    chain.reserve(parts.size());
+    std::vector<PrefixHash> prefixes;
+    prefixes.reserve(parts.size());
     std::uint64_t hash = 0;
     std::uint32_t sum = 0;
     for (const PromptPart &part : parts) {
@@ -26,41 +26,41 @@
         hash =
             Base::stableHash(std::string_view(reinterpret_cast<const char *>(both), sizeof(both)));
         sum += part.tokens;
-        chain.push_back({hash, sum});
+        prefixes.push_back({hash, sum});
     }
-    return chain;
+    return prefixes;
 }
 
-std::vector<ChainLink> sharedChainOf(const std::vector<PromptPart> &parts)
+std::vector<PrefixHash> sharedPrefixHashes(const std::vector<PromptPart> &parts)
 {
-    std::vector<ChainLink> chain = chainOf(parts);
-    if (!chain.empty())
-        chain.pop_back();
-    return chain;
+    std::vector<PrefixHash> prefixes = prefixHashes(parts);
+    if (!prefixes.empty())
+        prefixes.pop_back();
+    return prefixes;
 }
 
-std::uint32_t PromptCacheModel::cachedTokens(const std::vector<ChainLink> &chain,
+std::uint32_t PromptCacheModel::cachedTokens(const std::vector<PrefixHash> &prefixes,
                                              Base::TimePoint now) const
 {
     std::uint32_t kept = 0;
-    for (const ChainLink &link : chain) {
-        const auto it = m_entries.find(link.hash);
+    for (const PrefixHash &prefix : prefixes) {
+        const auto it = m_entries.find(prefix.hash);
         if (it == m_entries.end() || now - it->second.usedAt >= keptFor)
             return kept;
-        kept = link.tokensSoFar;
+        kept = prefix.tokensSoFar;
     }
     return kept;
 }
 
-std::uint32_t PromptCacheModel::fetchableTokens(const std::vector<ChainLink> &chain,
+std::uint32_t PromptCacheModel::fetchableTokens(const std::vector<PrefixHash> &prefixes,
                                                 Base::TimePoint now) const
 {
     std::uint32_t read = 0;
-    for (const ChainLink &link : chain) {
-        const auto it = m_entries.find(link.hash);
+    for (const PrefixHash &prefix : prefixes) {
+        const auto it = m_entries.find(prefix.hash);
         if (it == m_entries.end() || now - it->second.usedAt >= keptFor || now < it->second.readBy)
             return read;
-        read = link.tokensSoFar;
+        read = prefix.tokensSoFar;
     }
     return read;
 }
--- a/src/libs/routing/promptcache.h
+++ b/src/libs/routing/promptcache.h
@@ -11,16 +11,16 @@
 
 /// The hash of a prefix of a prompt. It covers a part and all parts before it, because a cached
 /// part is only of use to a server behind the same beginning.
-struct ChainLink
+struct PrefixHash
 {
     std::uint64_t hash = 0;
     /// The number of tokens from the start of the prompt to the end of this prefix.
     std::uint32_t tokensSoFar = 0;
 };
-std::vector<ChainLink> chainOf(const std::vector<PromptPart> &parts);
+std::vector<PrefixHash> prefixHashes(const std::vector<PromptPart> &parts);
 /// Returns the prefixes that other requests may share. These are all but the longest, whose last
 /// part belongs to the request alone.
-std::vector<ChainLink> sharedChainOf(const std::vector<PromptPart> &parts);
+std::vector<PrefixHash> sharedPrefixHashes(const std::vector<PromptPart> &parts);
 
 /// Models which shared prompt parts one model server has cached, from what all hosts sent to it.
 ///
@@ -32,10 +32,11 @@
 {
 public:
     /// Returns the number of tokens of the longest prefix that the server need not read again.
-    std::uint32_t cachedTokens(const std::vector<ChainLink> &chain, Base::TimePoint now) const;
+    std::uint32_t cachedTokens(const std::vector<PrefixHash> &prefixes, Base::TimePoint now) const;
     /// Returns the number of those tokens that the server has read by now, so that others can fetch
     /// them.
-    std::uint32_t fetchableTokens(const std::vector<ChainLink> &chain, Base::TimePoint now) const;
+    std::uint32_t fetchableTokens(const std::vector<PrefixHash> &prefixes,
+                                  Base::TimePoint now) const;
     /// Records that a prompt with the prefix was sent to the server, which will have read it by \a
     /// readBy.
     void recordUse(std::uint64_t hash, Base::TimePoint now, Base::TimePoint readBy);
