--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -39,7 +39,7 @@
 /// second.
 constexpr Base::Duration toldReadingTime = milliseconds(200);
 /// Nothing is fetched from a server whose share of failed attempts is this or higher.
-constexpr double mostKeeperFailures = 0.15;
+constexpr double maxSourceFailureShare = 0.15;
 /// The maximum number of waiting requests that one placement pass skips because their best server
 /// is full, in search of one whose server has capacity.
 constexpr std::size_t mostPassedOver = 24;
@@ -273,7 +273,7 @@
     const std::uint32_t mostKept = *std::max_element(m_kept.begin(), m_kept.end());
     const bool isNew = !prefixes.empty() && mostKept < prefixes.back().tokensSoFar;
     const KeptPrompt prompt{mostKept, isNew ? hashedServer(prefixes.back().hash) : nullptr,
-                            PrefixFetch(m_cost, keepersOf(work, prefixes, now))};
+                            PrefixFetch(m_cost, sourcesFor(work, prefixes, now))};
     std::optional<Choice> best;
     auto keptHere = m_kept.begin();
     for (auto &[id, state] : m_servers) {
@@ -321,33 +321,33 @@
     return choice;
 }
 
-std::vector<PrefixKeeper> Dispatcher::keepersOf(const Work &work,
-                                                const std::vector<PrefixHash> &prefixes,
-                                                Base::TimePoint now) const
+std::vector<PrefixSource> Dispatcher::sourcesFor(const Work &work,
+                                                 const std::vector<PrefixHash> &prefixes,
+                                                 Base::TimePoint now) const
 {
-    std::vector<PrefixKeeper> keepers;
+    std::vector<PrefixSource> sources;
     if (prefixes.empty() || !m_cost.traits().moveMsPerToken)
-        return keepers;
+        return sources;
     for (const auto &[id, state] : m_servers) {
         // A fetch from a server that failed this request, or other requests recently, would hang or
         // return nothing. The request would then start late at a healthy server.
         if (!state.health.isUsable(now) || wasTried(work, id)
-            || state.health.failureShare(now) >= mostKeeperFailures)
+            || state.health.failureShare(now) >= maxSourceFailureShare)
             continue;
         const std::uint32_t tokens = state.cache.fetchableTokens(prefixes, now);
         if (tokens > 0)
-            keepers.push_back({id, state.server.zone, tokens, state.handingOutMilliseconds});
+            sources.push_back({id, state.server.zone, tokens, state.handingOutMilliseconds});
     }
-    return keepers;
+    return sources;
 }
 
 void Dispatcher::fetchOver(Placed &placed)
 {
     if (!placed.fetch)
         return;
-    const auto keeper = m_servers.find(placed.fetch->from);
-    if (keeper != m_servers.end()) {
-        double &handingOut = keeper->second.handingOutMilliseconds;
+    const auto source = m_servers.find(placed.fetch->from);
+    if (source != m_servers.end()) {
+        double &handingOut = source->second.handingOutMilliseconds;
         handingOut = std::max(0.0, handingOut - placed.fetch->milliseconds);
     }
     placed.fetch.reset();
@@ -419,8 +419,8 @@
     if (choice.fetch) {
         placed.fetch = choice.fetch;
         placed.fetch->milliseconds = m_cost.fetchMilliseconds(choice.fetch->tokens, false);
-        const auto keeper = m_servers.find(choice.fetch->from);
-        keeper->second.handingOutMilliseconds += placed.fetch->milliseconds;
+        const auto source = m_servers.find(choice.fetch->from);
+        source->second.handingOutMilliseconds += placed.fetch->milliseconds;
     }
     m_shares.recordSent(work.customer, tokensOf(work), now);
     decisions.placements.push_back(
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -137,8 +137,8 @@
                     std::uint32_t cachedTokens, const KeptPrompt &prompt,
                     Base::TimePoint now) const;
     /// Returns the servers from which others can fetch the beginning of the request's prompt.
-    std::vector<PrefixKeeper> keepersOf(const Work &work, const std::vector<PrefixHash> &prefixes,
-                                        Base::TimePoint now) const;
+    std::vector<PrefixSource> sourcesFor(const Work &work, const std::vector<PrefixHash> &prefixes,
+                                         Base::TimePoint now) const;
     /// Removes the fetch of a request that has started or ended from the load of the fetch's
     /// source. The server has then fetched what it was to fetch.
     void fetchOver(Placed &placed);
--- a/src/libs/routing/prefixfetch.cpp
+++ b/src/libs/routing/prefixfetch.cpp
@@ -7,27 +7,27 @@
 
 namespace {
 
-bool isBetter(const PrefixKeeper &one, const PrefixKeeper &other)
+bool isBetter(const PrefixSource &one, const PrefixSource &other)
 {
     if (one.tokens != other.tokens)
         return one.tokens > other.tokens;
-    return one.busyMilliseconds < other.busyMilliseconds;
+    return one.queuedMilliseconds < other.queuedMilliseconds;
 }
 
 } // namespace
 
-PrefixFetch::PrefixFetch(const ServerCost &cost, std::vector<PrefixKeeper> keepers)
+PrefixFetch::PrefixFetch(const ServerCost &cost, std::vector<PrefixSource> sources)
     : m_cost(&cost)
 {
     // A large pool has tens of sources, and each decision looks at all servers for each of them.
     // One source per zone is enough.
-    for (PrefixKeeper &keeper : keepers) {
-        const auto sameZone = std::find_if(m_keepers.begin(), m_keepers.end(),
-                                           [&](const auto &it) { return it.zone == keeper.zone; });
-        if (sameZone == m_keepers.end())
-            m_keepers.push_back(std::move(keeper));
-        else if (isBetter(keeper, *sameZone))
-            *sameZone = std::move(keeper);
+    for (PrefixSource &source : sources) {
+        const auto sameZone = std::find_if(m_sources.begin(), m_sources.end(),
+                                           [&](const auto &it) { return it.zone == source.zone; });
+        if (sameZone == m_sources.end())
+            m_sources.push_back(std::move(source));
+        else if (isBetter(source, *sameZone))
+            *sameZone = std::move(source);
     }
 }
 
@@ -36,18 +36,18 @@
 {
     std::optional<FetchPlan> best;
     double mostSaved = 0;
-    for (const PrefixKeeper &keeper : m_keepers) {
-        if (keeper.server == server || keeper.tokens <= cachedTokens)
+    for (const PrefixSource &source : m_sources) {
+        if (source.server == server || source.tokens <= cachedTokens)
             continue;
-        const std::uint32_t tokens = keeper.tokens - cachedTokens;
+        const std::uint32_t tokens = source.tokens - cachedTokens;
         const double fetching =
-            m_cost->fetchMilliseconds(tokens, keeper.zone != zone) + keeper.busyMilliseconds;
+            m_cost->fetchMilliseconds(tokens, source.zone != zone) + source.queuedMilliseconds;
         const double saved =
             m_cost->readMilliseconds(tokens) + m_cost->rereadMilliseconds(tokens) - fetching;
         if (saved <= mostSaved)
             continue;
         mostSaved = saved;
-        best = FetchPlan{keeper.server, tokens, fetching};
+        best = FetchPlan{source.server, tokens, fetching};
     }
     return best;
 }
--- a/src/libs/routing/prefixfetch.h
+++ b/src/libs/routing/prefixfetch.h
@@ -10,14 +10,14 @@
 namespace Routing {
 
 /// A server that has read a prompt's beginning and has it cached.
-struct PrefixKeeper
+struct PrefixSource
 {
     Base::ServerId server;
     Base::ZoneId zone;
     /// The number of tokens of the beginning that others can fetch from it now.
     std::uint32_t tokens = 0;
     /// The time in milliseconds for the transfers that are queued at the server.
-    double busyMilliseconds = 0;
+    double queuedMilliseconds = 0;
 };
 
 /// The plan that a server fetches a prompt's beginning from another server instead of reading it.
@@ -41,7 +41,7 @@
 class PrefixFetch
 {
 public:
-    PrefixFetch(const ServerCost &cost, std::vector<PrefixKeeper> keepers);
+    PrefixFetch(const ServerCost &cost, std::vector<PrefixSource> sources);
 
     /// Returns the best fetch for \a server in \a zone that has \a cachedTokens itself, or nothing
     /// if reading is cheaper.
@@ -51,7 +51,7 @@
 private:
     const ServerCost *m_cost;
     /// The best source of each zone.
-    std::vector<PrefixKeeper> m_keepers;
+    std::vector<PrefixSource> m_sources;
 };
 
 } // namespace Routing
--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -304,17 +304,17 @@
     ServiceTraits traits{true, 500000, 40, 0, 0.001};
     Dispatcher dispatcher(traits, Base::ZoneId("near"));
     dispatcher.setServers(servers(3));
-    const Base::ServerId keeper = onlyPlacement(dispatcher.submit(prompt(1, 42, start), start));
+    const Base::ServerId source = onlyPlacement(dispatcher.submit(prompt(1, 42, start), start));
     const Base::TimePoint later = start + seconds(1);
     dispatcher.finished(1, AttemptOutcome::Silent, later);
     Work again = prompt(1, 42, later);
-    again.tried = {keeper};
+    again.tried = {source};
     const Decisions decisions = dispatcher.submit(again, later);
     REQUIRE(decisions.placements.size() == 1);
     CHECK(decisions.placements[0].fetchFrom.isEmpty());
     const Decisions others = dispatcher.submit(prompt(2, 42, later), later);
     REQUIRE(others.placements.size() == 1);
-    CHECK(others.placements[0].fetchFrom != keeper);
+    CHECK(others.placements[0].fetchFrom != source);
 }
 
 TEST_CASE("fetches are spread over sources, and sources of the same zone are preferred",
@@ -323,11 +323,11 @@
     const ServerCost cost(ServiceTraits{true, 500000, 40, 0, 0.002});
     const Base::ZoneId near("near");
     const Base::ZoneId far("far");
-    const PrefixKeeper idle{Base::ServerId("idle"), near, 13000, 0};
-    const PrefixKeeper busy{Base::ServerId("busy"), near, 13000, 30};
-    const PrefixKeeper other{Base::ServerId("other"), far, 13000, 0};
-    const auto from = [&](std::vector<PrefixKeeper> keepers) {
-        const auto plan = PrefixFetch(cost, std::move(keepers)).plan(Base::ServerId("x"), near, 0);
+    const PrefixSource idle{Base::ServerId("idle"), near, 13000, 0};
+    const PrefixSource busy{Base::ServerId("busy"), near, 13000, 30};
+    const PrefixSource other{Base::ServerId("other"), far, 13000, 0};
+    const auto from = [&](std::vector<PrefixSource> sources) {
+        const auto plan = PrefixFetch(cost, std::move(sources)).plan(Base::ServerId("x"), near, 0);
         return plan ? plan->from.value() : "none";
     };
     CHECK(from({busy, idle, other}) == "idle");
