--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -279,11 +279,11 @@
     for (auto &[id, state] : m_servers) {
         const std::uint32_t kept = *keptHere++;
         const bool isUsable = state.health.isUsable(now);
-        const ServerStanding standing = standingOf(state, now);
-        const bool isRoom = isUsable && m_cost.hasRoom(standing, admission);
+        const ServerSnapshot snapshot = snapshotOf(state, now);
+        const bool isRoom = isUsable && m_cost.hasRoom(snapshot, admission);
         if (!isRoom && (takesAny || !isUsable))
             continue;
-        Choice choice = choiceOf(state, standing, work, kept, prompt, now);
+        Choice choice = choiceOf(state, snapshot, work, kept, prompt, now);
         choice.hasRoom = isRoom;
         if (!best || choice.milliseconds < best->milliseconds)
             best = std::move(choice);
@@ -291,7 +291,7 @@
     return best;
 }
 
-Dispatcher::Choice Dispatcher::choiceOf(ServerState &state, const ServerStanding &standing,
+Dispatcher::Choice Dispatcher::choiceOf(ServerState &state, const ServerSnapshot &snapshot,
                                         const Work &work, std::uint32_t cachedTokens,
                                         const KeptPrompt &prompt, Base::TimePoint now) const
 {
@@ -302,7 +302,7 @@
     if (m_cost.traits().isEngine)
         choice.unreadTokens = work.promptTokens - std::min(there, work.promptTokens);
     double &cost = choice.milliseconds;
-    cost = m_cost.startMilliseconds(standing, choice.unreadTokens);
+    cost = m_cost.startMilliseconds(snapshot, choice.unreadTokens);
     if (choice.fetch)
         cost += choice.fetch->milliseconds;
     // Requests that wait for the server are served first. Without this term, a hundred requests
@@ -367,19 +367,19 @@
     return first;
 }
 
-ServerStanding Dispatcher::standingOf(const ServerState &state, Base::TimePoint now) const
+ServerSnapshot Dispatcher::snapshotOf(const ServerState &state, Base::TimePoint now) const
 {
-    ServerStanding standing;
-    standing.slots = state.server.slots;
-    standing.load.running = state.own.running + state.others.running;
-    standing.load.unreadTokens = state.own.unreadTokens + state.others.unreadTokens;
-    standing.slowness = state.health.slowness(now);
-    return standing;
+    ServerSnapshot snapshot;
+    snapshot.slots = state.server.slots;
+    snapshot.load.running = state.own.running + state.others.running;
+    snapshot.load.unreadTokens = state.own.unreadTokens + state.others.unreadTokens;
+    snapshot.slowness = state.health.slowness(now);
+    return snapshot;
 }
 
 bool Dispatcher::hasRoom(const ServerState &state, Admission admission, Base::TimePoint now) const
 {
-    return state.health.isUsable(now) && m_cost.hasRoom(standingOf(state, now), admission);
+    return state.health.isUsable(now) && m_cost.hasRoom(snapshotOf(state, now), admission);
 }
 
 double Dispatcher::crowding(Base::TimePoint now) const
@@ -403,13 +403,13 @@
     placed.server = state.server.id;
     placed.unreadTokens = choice.unreadTokens;
     placed.at = now;
-    const ServerStanding standing = standingOf(state, now);
+    const ServerSnapshot snapshot = snapshotOf(state, now);
     const double fetching = choice.fetch ? choice.fetch->milliseconds : 0;
-    const double expected = m_cost.startMilliseconds(standing, choice.unreadTokens) + fetching;
+    const double expected = m_cost.startMilliseconds(snapshot, choice.unreadTokens) + fetching;
     const std::uint32_t fetched = choice.fetch ? choice.fetch->tokens : 0;
     const PlacementInputs inputs{choice.unreadTokens,        fetched,
-                                 standing.load.unreadTokens, standing.load.running,
-                                 standing.slowness,          state.health.failureShare(now)};
+                                 snapshot.load.unreadTokens, snapshot.load.running,
+                                 snapshot.slowness,          state.health.failureShare(now)};
     placed.expected = std::chrono::duration_cast<Base::Duration>(
         std::chrono::duration<double, std::milli>(expected));
     ++state.own.running;
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -133,7 +133,7 @@
     std::optional<Choice> choose(const Work &work, Base::TimePoint now, Admission admission,
                                  bool takesAny = false);
     /// Estimates the cost of the request at a server that has \a cachedTokens of its prompt cached.
-    Choice choiceOf(ServerState &state, const ServerStanding &standing, const Work &work,
+    Choice choiceOf(ServerState &state, const ServerSnapshot &snapshot, const Work &work,
                     std::uint32_t cachedTokens, const KeptPrompt &prompt,
                     Base::TimePoint now) const;
     /// Returns the servers from which others can fetch the beginning of the request's prompt.
@@ -142,7 +142,7 @@
     /// Removes the fetch of a request that has started or ended from the load of the fetch's
     /// source. The server has then fetched what it was to fetch.
     void fetchOver(Placed &placed);
-    ServerStanding standingOf(const ServerState &state, Base::TimePoint now) const;
+    ServerSnapshot snapshotOf(const ServerState &state, Base::TimePoint now) const;
     /// Returns the server that rendezvous hashing selects for \a beginning, or null if there are no
     /// servers.
     const ServerState *hashedServer(std::uint64_t beginning) const;
--- a/src/libs/routing/servercost.cpp
+++ b/src/libs/routing/servercost.cpp
@@ -50,33 +50,33 @@
         m_traits.readTokensPerMs = defaultReadTokensPerMs;
 }
 
-double ServerCost::startMilliseconds(const ServerStanding &standing,
+double ServerCost::startMilliseconds(const ServerSnapshot &snapshot,
                                      std::uint32_t unreadTokens) const
 {
-    const ServerLoad &load = standing.load;
-    const double slots = std::max(standing.slots, 1U);
+    const ServerLoad &load = snapshot.load;
+    const double slots = std::max(snapshot.slots, 1U);
     if (!m_traits.isEngine) {
         const double places = (load.running + 1) / slots;
-        return std::max(1.0, places) * plainWorkMilliseconds * standing.slowness + load.running;
+        return std::max(1.0, places) * plainWorkMilliseconds * snapshot.slowness + load.running;
     }
     const double reading = readMilliseconds(static_cast<double>(load.unreadTokens) + unreadTokens);
     const double sharing = load.running * millisecondsPerRunning;
     const double full = std::max(0.0, load.running + 1 - slots * slotsUsed);
-    return (reading + sharing + full * plainWorkMilliseconds) * standing.slowness;
+    return (reading + sharing + full * plainWorkMilliseconds) * snapshot.slowness;
 }
 
-bool ServerCost::hasRoom(const ServerStanding &standing, Admission admission) const
+bool ServerCost::hasRoom(const ServerSnapshot &snapshot, Admission admission) const
 {
     if (admission == Admission::Refused)
         return false;
     const bool isWithinShare = admission == Admission::WithinShare;
-    const ServerLoad &load = standing.load;
-    const double slots = std::max(standing.slots, 1U);
+    const ServerLoad &load = snapshot.load;
+    const double slots = std::max(snapshot.slots, 1U);
     if (!m_traits.isEngine)
         return load.running < slots * plainSlotsUsed;
     if (load.running >= slots * (isWithinShare ? slotsUsed : spareSlots))
         return false;
-    return readMilliseconds(load.unreadTokens) * standing.slowness
+    return readMilliseconds(load.unreadTokens) * snapshot.slowness
            < (isWithinShare ? fullMilliseconds : spareMilliseconds);
 }
 
--- a/src/libs/routing/servercost.h
+++ b/src/libs/routing/servercost.h
@@ -25,7 +25,7 @@
 };
 
 /// The state of a server at the moment of a decision.
-struct ServerStanding
+struct ServerSnapshot
 {
     std::uint32_t slots = 1;
     /// The load of all hosts together.
@@ -49,8 +49,8 @@
 
     /// Returns the estimated time in milliseconds from sending a request to its first event. \a
     /// unreadTokens is the number of its prompt tokens that the server has not cached.
-    double startMilliseconds(const ServerStanding &standing, std::uint32_t unreadTokens) const;
-    bool hasRoom(const ServerStanding &standing, Admission admission) const;
+    double startMilliseconds(const ServerSnapshot &snapshot, std::uint32_t unreadTokens) const;
+    bool hasRoom(const ServerSnapshot &snapshot, Admission admission) const;
     /// Returns the time in milliseconds that the server takes to read \a tokens.
     double readMilliseconds(double tokens) const { return tokens / m_traits.readTokensPerMs; }
     /// Returns the engine time in milliseconds that is lost if a server reads \a rereadTokens
