--- a/src/libs/routing/customershares.cpp
+++ b/src/libs/routing/customershares.cpp
@@ -39,7 +39,7 @@
 /// The saturation at which as much is admitted as servers recently began. Below it more is
 /// admitted, which fills spare capacity within seconds. Above it less is admitted, so that a
 /// customer whose demand jumps finds capacity.
-constexpr double crowdingTarget = 1.25;
+constexpr double saturationTarget = 1.25;
 constexpr double growthGain = 0.6;
 constexpr double mostGrowth = 0.5;
 constexpr double mostCut = 0.3;
@@ -175,7 +175,7 @@
 
 double CustomerShares::growth() const
 {
-    return std::clamp(growthGain * (crowdingTarget - m_crowding), -mostCut, mostGrowth);
+    return std::clamp(growthGain * (saturationTarget - m_saturation), -mostCut, mostGrowth);
 }
 
 double CustomerShares::spareLevel(const std::map<Base::CustomerId, double> &asked, double seconds,
--- a/src/libs/routing/customershares.h
+++ b/src/libs/routing/customershares.h
@@ -41,7 +41,7 @@
     void setThroughput(double tokensPerSecond) { m_tokensPerSecond = tokensPerSecond; }
     /// Sets the mean saturation of the servers that may get requests now. A server counts as 0 with
     /// spare capacity, as 1 without, and as 2 if it is full for everybody.
-    void setCrowding(double crowding) { m_crowding = crowding; }
+    void setSaturation(double saturation) { m_saturation = saturation; }
     /// Sets the load of the other hosts. It must outlive this object and may change.
     void setOthers(const OthersLoad &others) { m_others = &others; }
 
@@ -93,7 +93,7 @@
 
     const OthersLoad *m_others = nullptr;
     double m_tokensPerSecond = 0;
-    double m_crowding = 0;
+    double m_saturation = 0;
     DecayingSum m_asked;
     DecayingSum m_received;
     DecayingSum m_begun;
--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -50,7 +50,7 @@
 /// case, and there are thousands of them.
 constexpr Base::Duration forgetInterval = std::chrono::seconds(1);
 /// The time between two updates of the saturation. The reports of other hosts change it this often.
-constexpr Base::Duration crowdingInterval = milliseconds(100);
+constexpr Base::Duration saturationInterval = milliseconds(100);
 constexpr milliseconds leastRetryAfter{200};
 constexpr milliseconds mostRetryAfter{2000};
 
@@ -226,9 +226,9 @@
         for (auto &[id, state] : m_servers)
             state.cache.evictExpired(now);
     }
-    if (now - m_measuredAt >= crowdingInterval) {
+    if (now - m_measuredAt >= saturationInterval) {
         m_measuredAt = now;
-        m_shares.setCrowding(crowding(now));
+        m_shares.setSaturation(saturation(now));
     }
     drain(now, decisions);
     turnAwayLate(now, decisions);
@@ -382,7 +382,7 @@
     return state.health.isUsable(now) && m_cost.hasRoom(snapshotOf(state, now), admission);
 }
 
-double Dispatcher::crowding(Base::TimePoint now) const
+double Dispatcher::saturation(Base::TimePoint now) const
 {
     double sum = 0;
     double usable = 0;
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -151,7 +151,7 @@
     bool hasRoom(const ServerState &state, Admission admission, Base::TimePoint now) const;
     /// Returns the mean saturation of the servers that may get requests now. A server counts as 0
     /// with spare capacity, as 1 without, and as 2 if it is full for everybody.
-    double crowding(Base::TimePoint now) const;
+    double saturation(Base::TimePoint now) const;
     void place(Work work, const Choice &choice, Base::TimePoint now, Decisions &decisions);
     /// Places waiting requests as far as there is capacity.
     void drain(Base::TimePoint now, Decisions &decisions);
