--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -143,7 +143,7 @@
         return decisions;
     }
     if (m_waiting.size() >= mostWaiting) {
-        decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::Crowded, now));
+        decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::QueueFull, now));
         return decisions;
     }
     const Base::Duration mayWait =
--- a/src/libs/routing/work.cpp
+++ b/src/libs/routing/work.cpp
@@ -9,7 +9,7 @@
         return "no_server";
     case TurnedAwayReason::TooLate:
         return "too_late";
-    case TurnedAwayReason::Crowded:
+    case TurnedAwayReason::QueueFull:
         return "crowded";
     case TurnedAwayReason::BeyondShare:
         return "beyond_share";
--- a/src/libs/routing/work.h
+++ b/src/libs/routing/work.h
@@ -74,7 +74,7 @@
 enum class TurnedAwayReason {
     NoServer,    ///< No server of the service is known.
     TooLate,     ///< The request could not start in time behind the requests that wait already.
-    Crowded,     ///< The number of waiting requests has reached this host's limit.
+    QueueFull,   ///< The number of waiting requests has reached this host's limit.
     BeyondShare, ///< The customer has received its share, and there is no spare capacity.
 };
 
