--- a/src/libs/routing/customershares.cpp
+++ b/src/libs/routing/customershares.cpp
@@ -115,13 +115,13 @@
 double CustomerShares::received(const Base::CustomerId &customer, Base::TimePoint now) const
 {
     const double own = m_received.value(customer, now);
-    return m_others ? own + valueOf(m_others->received, customer) : own;
+    return m_peerLoad ? own + valueOf(m_peerLoad->received, customer) : own;
 }
 
 double CustomerShares::started(const Base::CustomerId &customer, Base::TimePoint now) const
 {
     const double own = m_begun.value(customer, now);
-    return m_others ? own + valueOf(m_others->begun, customer) : own;
+    return m_peerLoad ? own + valueOf(m_peerLoad->begun, customer) : own;
 }
 
 double CustomerShares::shareLevel(Base::TimePoint now)
@@ -141,8 +141,8 @@
                        std::chrono::duration<double>(std::min(since, 2 * updateInterval)).count(),
                        now);
     std::map<Base::CustomerId, double> asked;
-    if (m_others)
-        asked = m_others->asked;
+    if (m_peerLoad)
+        asked = m_peerLoad->asked;
     m_asked.addTo(asked, now);
     // The sums cover about two seconds, but no time before the load began. If the whole two seconds
     // counted as capacity from the first moment, two seconds' worth of requests would be admitted
@@ -170,7 +170,7 @@
 double CustomerShares::askedSeconds(Base::TimePoint now) const
 {
     const double own = m_askedSeconds.value(allCustomers(), now);
-    return m_others ? std::max(own, m_others->askedSeconds) : own;
+    return m_peerLoad ? std::max(own, m_peerLoad->askedSeconds) : own;
 }
 
 double CustomerShares::growth() const
@@ -211,9 +211,9 @@
 
 double CustomerShares::ownPart(const Base::CustomerId &customer) const
 {
-    const double leastPart = 1.0 / static_cast<double>(m_others ? m_others->hosts : 1);
+    const double leastPart = 1.0 / static_cast<double>(m_peerLoad ? m_peerLoad->hosts : 1);
     const double own = valueOf(m_askedThen.front().asked, customer);
-    const double all = own + (m_others ? valueOf(m_others->asked, customer) : 0);
+    const double all = own + (m_peerLoad ? valueOf(m_peerLoad->asked, customer) : 0);
     return all > 0 ? std::max(own / all, leastPart) : leastPart;
 }
 
--- a/src/libs/routing/customershares.h
+++ b/src/libs/routing/customershares.h
@@ -43,7 +43,7 @@
     /// spare capacity, as 1 without, and as 2 if it is full for everybody.
     void setSaturation(double saturation) { m_saturation = saturation; }
     /// Sets the load of the other hosts. It must outlive this object and may change.
-    void setOthers(const OthersLoad &others) { m_others = &others; }
+    void setOthers(const OthersLoad &peerLoad) { m_peerLoad = &peerLoad; }
 
     void recordDemand(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
     void recordSent(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
@@ -91,7 +91,7 @@
         std::map<Base::CustomerId, double> asked;
     };
 
-    const OthersLoad *m_others = nullptr;
+    const OthersLoad *m_peerLoad = nullptr;
     double m_tokensPerSecond = 0;
     double m_saturation = 0;
     DecayingSum m_asked;
--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -92,20 +92,20 @@
     othersChanged();
 }
 
-void Dispatcher::setOthers(const OthersLoad &others)
+void Dispatcher::setOthers(const OthersLoad &peerLoad)
 {
-    m_others = &others;
-    m_shares.setOthers(others);
+    m_peerLoad = &peerLoad;
+    m_shares.setOthers(peerLoad);
     othersChanged();
 }
 
 void Dispatcher::othersChanged()
 {
-    if (!m_others)
+    if (!m_peerLoad)
         return;
     for (auto &[id, state] : m_servers) {
-        const auto it = m_others->servers.find(id);
-        state.others = it == m_others->servers.end() ? ServerLoad() : it->second;
+        const auto it = m_peerLoad->servers.find(id);
+        state.peerLoad = it == m_peerLoad->servers.end() ? ServerLoad() : it->second;
     }
 }
 
@@ -371,8 +371,8 @@
 {
     ServerSnapshot snapshot;
     snapshot.slots = state.server.slots;
-    snapshot.load.running = state.own.running + state.others.running;
-    snapshot.load.unreadTokens = state.own.unreadTokens + state.others.unreadTokens;
+    snapshot.load.running = state.own.running + state.peerLoad.running;
+    snapshot.load.unreadTokens = state.own.unreadTokens + state.peerLoad.unreadTokens;
     snapshot.slowness = state.health.slowness(now);
     return snapshot;
 }
@@ -501,7 +501,7 @@
 double Dispatcher::drainTokensPerMs() const
 {
     const double hosts =
-        m_others ? static_cast<double>(std::max<std::size_t>(m_others->hosts, 1)) : 1;
+        m_peerLoad ? static_cast<double>(std::max<std::size_t>(m_peerLoad->hosts, 1)) : 1;
     const double servers = static_cast<double>(std::max<std::size_t>(m_servers.size(), 1));
     return std::max(1.0, servers * m_cost.traits().readTokensPerMs / hosts);
 }
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -51,7 +51,7 @@
     void setServers(const std::vector<RegisteredServer> &servers);
     /// Sets the load of the other hosts. \a peerLoad must outlive the dispatcher and may change;
     /// peerLoadChanged() must be called after each change.
-    void setOthers(const OthersLoad &others);
+    void setOthers(const OthersLoad &peerLoad);
     void othersChanged();
 
     /// Handles a request that arrives, or that returns after a failed attempt.
@@ -87,7 +87,7 @@
         ServerLoad own;
         /// The sum over all other hosts. It is looked up once for each report and not for each
         /// decision, because a decision looks at all servers.
-        ServerLoad others;
+        ServerLoad peerLoad;
         ServerHealth health;
         PromptCacheModel cache;
         /// The prompt tokens of requests that wait here for this server because no other one would
@@ -164,7 +164,7 @@
     ServerCost m_cost;
     CustomerShares m_shares;
     Base::ZoneId m_ownZone;
-    const OthersLoad *m_others = nullptr;
+    const OthersLoad *m_peerLoad = nullptr;
     std::map<Base::ServerId, ServerState> m_servers;
     std::unordered_map<WorkId, Placed> m_placed;
     FairWaitQueue m_waiting;
