--- a/src/libs/routing/backlogwatch.cpp
+++ b/src/libs/routing/backlogwatch.cpp
@@ -16,10 +16,10 @@
 constexpr double streamShare = 0.5;
 /// The maximum credit, as the time in which it accrues. Streams that arrive together are admitted
 /// together, and delay each other's events by no more than callers accept.
-constexpr Base::Duration creditSpan = std::chrono::milliseconds(200);
+constexpr Base::Duration maxCreditSpan = std::chrono::milliseconds(200);
 /// The maximum debt, as the time in which it is paid off. A host that promised more than this
 /// before it fell behind still admits streams again within a second.
-constexpr Base::Duration debtSpan = std::chrono::milliseconds(600);
+constexpr Base::Duration maxDebtSpan = std::chrono::milliseconds(600);
 /// The assumed number of events for each token that a caller allows, until streams have been
 /// forwarded. Callers allow four times what is generated, and an event holds about five tokens.
 constexpr double presumedEventsPerToken = 0.05;
@@ -145,14 +145,14 @@
 void BacklogWatch::refill(Base::TimePoint now)
 {
     const double share = streamShare * m_capacity / milliCoresOfCore;
-    m_credit = std::min(m_credit + part(now - m_refilledAt, share), part(creditSpan, share));
+    m_credit = std::min(m_credit + part(now - m_refilledAt, share), part(maxCreditSpan, share));
     m_refilledAt = now;
 }
 
 void BacklogWatch::charge(const Work &work)
 {
     const double share = streamShare * m_capacity / milliCoresOfCore;
-    m_credit = std::max(m_credit - expectedCost(work), -part(debtSpan, share));
+    m_credit = std::max(m_credit - expectedCost(work), -part(maxDebtSpan, share));
     m_events *= 1 - newest;
     m_allowedTokens *= 1 - newest;
     m_allowedTokens += work.outputTokens;
--- a/src/libs/routing/customerpacer.cpp
+++ b/src/libs/routing/customerpacer.cpp
@@ -9,10 +9,10 @@
 
 /// The maximum credit, as the time in which it accrues. Callers arrive unevenly, and a host with
 /// less credit would give its customers less than their rate.
-constexpr Base::Duration creditSpan = std::chrono::milliseconds(700);
+constexpr Base::Duration maxCreditSpan = std::chrono::milliseconds(700);
 /// The maximum debt, as the time in which it is paid off. Requests that were admitted before the
 /// level was known count against a customer for no longer than others need to reach its amount.
-constexpr Base::Duration debtSpan = std::chrono::seconds(1);
+constexpr Base::Duration maxDebtSpan = std::chrono::seconds(1);
 /// The initial credit of a customer, as the time in which it accrues. All hosts grant it at the
 /// same time.
 constexpr Base::Duration firstCreditSpan = std::chrono::milliseconds(250);
@@ -27,7 +27,7 @@
 double CustomerRateLimiter::creditAt(const Allowance &allowance, Base::TimePoint now)
 {
     const double earned = allowance.tokensPerSecond * seconds(now - allowance.at);
-    return std::min(allowance.credit + earned, allowance.tokensPerSecond * seconds(creditSpan));
+    return std::min(allowance.credit + earned, allowance.tokensPerSecond * seconds(maxCreditSpan));
 }
 
 void CustomerRateLimiter::setRates(const std::map<Base::CustomerId, double> &rates,
@@ -58,7 +58,7 @@
         return;
     Allowance &allowance = it->second;
     // One request may be larger than the maximum debt; it is charged completely.
-    const double most = std::max(tokens, allowance.tokensPerSecond * seconds(debtSpan));
+    const double most = std::max(tokens, allowance.tokensPerSecond * seconds(maxDebtSpan));
     allowance.credit = std::max(creditAt(allowance, now) - tokens, -most);
     allowance.at = now;
 }
