--- a/src/libs/routing/backlogwatch.cpp
+++ b/src/libs/routing/backlogwatch.cpp
@@ -32,7 +32,7 @@
 /// than a refusal.
 constexpr Base::Duration levelInterval = std::chrono::milliseconds(100);
 
-Base::Duration part(Base::Duration span, double share)
+Base::Duration scaled(Base::Duration span, double share)
 {
     return std::chrono::duration_cast<Base::Duration>(span * share);
 }
@@ -145,14 +145,14 @@
 void BacklogWatch::refill(Base::TimePoint now)
 {
     const double share = streamShare * m_capacity / milliCoresOfCore;
-    m_credit = std::min(m_credit + part(now - m_refilledAt, share), part(maxCreditSpan, share));
+    m_credit = std::min(m_credit + scaled(now - m_refilledAt, share), scaled(maxCreditSpan, share));
     m_refilledAt = now;
 }
 
 void BacklogWatch::charge(const Work &work)
 {
     const double share = streamShare * m_capacity / milliCoresOfCore;
-    m_credit = std::max(m_credit - expectedCost(work), -part(maxDebtSpan, share));
+    m_credit = std::max(m_credit - expectedCost(work), -scaled(maxDebtSpan, share));
     m_events *= 1 - newest;
     m_allowedTokens *= 1 - newest;
     m_allowedTokens += work.outputTokens;
--- a/src/libs/routing/costobserver.cpp
+++ b/src/libs/routing/costobserver.cpp
@@ -24,7 +24,7 @@
 constexpr double mostFactor = 8;
 constexpr double milliCoresOfCore = 1000;
 
-Base::Duration part(Base::Duration span, double share)
+Base::Duration scaled(Base::Duration span, double share)
 {
     return std::chrono::duration_cast<Base::Duration>(span * share);
 }
@@ -42,14 +42,15 @@
     m_advancedAt = now;
     if (m_elapsed < leastSpan)
         return;
-    m_spentBefore = part(m_spentBefore, remains) + part(m_elapsed, m_capacity / milliCoresOfCore);
-    m_reckonedBefore = part(m_reckonedBefore, remains) + m_reckoned;
+    m_spentBefore =
+        scaled(m_spentBefore, remains) + scaled(m_elapsed, m_capacity / milliCoresOfCore);
+    m_reckonedBefore = scaled(m_reckonedBefore, remains) + m_reckoned;
     beginSpan(now);
 }
 
 double CostObserver::factor() const
 {
-    const Base::Duration presumed = part(presumedSpan, m_capacity / milliCoresOfCore);
+    const Base::Duration presumed = scaled(presumedSpan, m_capacity / milliCoresOfCore);
     const std::chrono::duration<double> spent = m_spentBefore + presumed;
     const std::chrono::duration<double> reckoned = m_reckonedBefore + presumed;
     return std::clamp(spent / reckoned, leastFactor, mostFactor);
