--- a/src/libs/routing/entryselection.cpp
+++ b/src/libs/routing/entryselection.cpp
@@ -64,9 +64,9 @@
     for (const EntryHost &host : hosts)
         load += host.load;
     if (m_updatedAt != Base::TimePoint::min()) {
-        const double halves = static_cast<double>((now - m_updatedAt).count())
-                              / static_cast<double>(needHalfLife.count());
-        m_need *= std::exp2(-halves);
+        const double halfLives = static_cast<double>((now - m_updatedAt).count())
+                                 / static_cast<double>(needHalfLife.count());
+        m_need *= std::exp2(-halfLives);
     }
     m_updatedAt = now;
     m_need = std::max(m_need, load * headroom);
--- a/src/libs/routing/serverhealth.cpp
+++ b/src/libs/routing/serverhealth.cpp
@@ -84,9 +84,9 @@
 {
     if (since == Base::TimePoint::min())
         return value;
-    const double halves =
+    const double halfLives =
         static_cast<double>((now - since).count()) / static_cast<double>(halfLife.count());
-    return rest + (value - rest) * std::exp2(-halves);
+    return rest + (value - rest) * std::exp2(-halfLives);
 }
 
 } // namespace Routing
