--- a/tests/auto/routing/tst_backlogwatch.cpp
+++ b/tests/auto/routing/tst_backlogwatch.cpp
@@ -20,13 +20,13 @@
 };
 
 /// The processor time that is available in each millisecond.
-constexpr double millisecondsOfProcessor = 0.12;
+constexpr double processorShare = 0.12;
 
 /// Returns the time until a host with a \a backlog, given in milliseconds of its processor, starts
 /// on new work.
 Base::Duration waitFor(double backlog)
 {
-    const std::chrono::duration<double, std::milli> wait(backlog / millisecondsOfProcessor);
+    const std::chrono::duration<double, std::milli> wait(backlog / processorShare);
     return std::chrono::duration_cast<Base::Duration>(wait);
 }
 
@@ -71,7 +71,7 @@
                 outcome.promisedMilliseconds += cost;
             outcome.servedTokens += work.promptTokens;
         }
-        backlog -= millisecondsOfProcessor;
+        backlog -= processorShare;
         if (backlog <= 0) {
             backlog = 0;
             watch.noteIdle(now);
@@ -124,7 +124,7 @@
         }
         dueLong = std::min(dueLong, 1.0);
         dueShort = std::min(dueShort, 1.0);
-        backlog = std::max(backlog - millisecondsOfProcessor, 0.0);
+        backlog = std::max(backlog - processorShare, 0.0);
         if (backlog <= 0)
             watch.noteIdle(now);
     }
@@ -167,7 +167,7 @@
     // as much again.
     CHECK(outcome.servedTokens > 1.5 * 10 * 450000 / 2);
     // The admitted streams need no more than half of the host's processor.
-    CHECK(outcome.promisedMilliseconds < 0.55 * 9000 * millisecondsOfProcessor);
+    CHECK(outcome.promisedMilliseconds < 0.55 * 9000 * processorShare);
 }
 
 TEST_CASE("a host that keeps up refuses nothing", "[routing]")
@@ -212,7 +212,7 @@
     double backlog = 0;
     for (int i = 0; i < 20000; ++i) {
         now += std::chrono::microseconds(500);
-        backlog -= millisecondsOfProcessor / 2;
+        backlog -= processorShare / 2;
         if (backlog <= 0) {
             backlog = 0;
             watch.noteIdle(now);
@@ -229,7 +229,7 @@
         if (i >= 4000)
             promised += 0.125 + 0.04 * 20;
     }
-    CHECK(promised > 0.15 * 8000 * millisecondsOfProcessor);
+    CHECK(promised > 0.15 * 8000 * processorShare);
 }
 
 TEST_CASE("streams that are refused for another reason use none of the promised processor time",
--- a/tests/auto/routing/tst_costobserver.cpp
+++ b/tests/auto/routing/tst_costobserver.cpp
@@ -13,7 +13,7 @@
 
 constexpr Base::TimePoint start{seconds(100)};
 constexpr MilliCores capacity = 80;
-constexpr double millisecondsOfProcessor = 0.08;
+constexpr double processorShare = 0.08;
 
 /// Simulates a host that is never idle for \a time. In each millisecond it does work with the
 /// estimated cost \a expected.
@@ -52,7 +52,7 @@
         due += 0.7 / slowness;
         for (; due >= 1; due -= 1)
             ++waiting;
-        budget += millisecondsOfProcessor;
+        budget += processorShare;
         while (budget > 0 && waiting + events > 0) {
             // The host alternates between the events of admitted streams and new requests.
             if (events > 0 && (events > 20 || waiting == 0)) {
@@ -75,7 +75,7 @@
             watch.noteIdle(now);
         }
     }
-    return promised / (4000 * millisecondsOfProcessor);
+    return promised / (4000 * processorShare);
 }
 
 } // namespace
