--- a/tests/auto/routing/fairnessjudge.cpp
+++ b/tests/auto/routing/fairnessjudge.cpp
@@ -10,74 +10,74 @@
 
 } // namespace
 
-FairnessJudge::FairnessJudge(std::size_t customers, std::size_t seconds)
+FairnessChecker::FairnessChecker(std::size_t customers, std::size_t seconds)
     : m_seconds(customers, std::vector<Second>(seconds))
     , m_largest(customers)
 {}
 
-FairnessJudge::Second *FairnessJudge::secondOf(std::size_t customer, Base::Duration at)
+FairnessChecker::Second *FairnessChecker::secondOf(std::size_t customer, Base::Duration at)
 {
     const auto second =
         static_cast<std::size_t>(std::chrono::duration_cast<std::chrono::seconds>(at).count());
     return second < m_seconds[customer].size() ? &m_seconds[customer][second] : nullptr;
 }
 
-void FairnessJudge::asked(std::size_t customer, double tokens, Base::Duration at)
+void FairnessChecker::recordAsked(std::size_t customer, double tokens, Base::Duration at)
 {
     m_largest[customer] = std::max(m_largest[customer], tokens);
     if (Second *second = secondOf(customer, at))
         second->asked += tokens;
 }
 
-void FairnessJudge::got(std::size_t customer, double tokens, Base::Duration at)
+void FairnessChecker::recordReceived(std::size_t customer, double tokens, Base::Duration at)
 {
     if (Second *second = secondOf(customer, at))
-        second->got += tokens;
+        second->received += tokens;
 }
 
-void FairnessJudge::waited(std::size_t customer, Base::Duration at)
+void FairnessChecker::recordDelayed(std::size_t customer, Base::Duration at)
 {
     if (Second *second = secondOf(customer, at))
-        second->hasWaited = true;
+        second->wasDelayed = true;
 }
 
-std::optional<HeldDown> FairnessJudge::heldDown() const
+std::optional<UnderservedPeriod> FairnessChecker::findUnderserved() const
 {
     const std::size_t seconds = m_seconds.front().size();
     std::vector<double> best(seconds);
     for (std::size_t s = 0; s < seconds; ++s) {
         for (const auto &customer : m_seconds)
-            best[s] = std::max(best[s], customer[s].got);
+            best[s] = std::max(best[s], customer[s].received);
     }
     for (std::size_t c = 0; c < m_seconds.size(); ++c) {
         for (std::size_t from = 0; from + windowSeconds <= seconds; ++from) {
-            HeldDown it{c, from, 0, 0, 0};
+            UnderservedPeriod it{c, from, 0, 0, 0};
             double owed = 0;
-            bool hasWaited = true;
+            bool wasDelayed = true;
             for (std::size_t s = from; s < from + windowSeconds; ++s) {
                 const Second &second = m_seconds[c][s];
-                hasWaited = hasWaited && second.hasWaited;
+                wasDelayed = wasDelayed && second.wasDelayed;
                 owed += std::min(second.asked, best[s]);
                 it.asked += second.asked;
-                it.got += second.got;
-                it.bestGot += best[s];
+                it.received += second.received;
+                it.bestReceived += best[s];
             }
-            if (hasWaited && it.got < owed / 2 - leftOut * m_largest[c])
+            if (wasDelayed && it.received < owed / 2 - leftOut * m_largest[c])
                 return it;
         }
     }
     return std::nullopt;
 }
 
-double FairnessJudge::servedOf(std::size_t customer) const
+double FairnessChecker::servedOf(std::size_t customer) const
 {
     double sum = 0;
     for (const Second &second : m_seconds[customer])
-        sum += second.got;
+        sum += second.received;
     return sum;
 }
 
-double FairnessJudge::served() const
+double FairnessChecker::served() const
 {
     double sum = 0;
     for (std::size_t c = 0; c < m_seconds.size(); ++c)
@@ -85,10 +85,10 @@
     return sum;
 }
 
-std::string describe(const HeldDown &it)
+std::string describe(const UnderservedPeriod &it)
 {
     std::ostringstream text;
     text << "customer " << it.customer << " from second " << it.fromSecond << " asked for "
-         << it.asked << ", got " << it.got << " beside " << it.bestGot;
+         << it.asked << ", got " << it.received << " beside " << it.bestReceived;
     return text.str();
 }
--- a/tests/auto/routing/fairnessjudge.h
+++ b/tests/auto/routing/fairnessjudge.h
@@ -9,13 +9,13 @@
 
 /// A customer that was underserved, with the second in which this began and the amounts of the
 /// following six seconds in tokens.
-struct HeldDown
+struct UnderservedPeriod
 {
     std::size_t customer = 0;
     std::size_t fromSecond = 0;
     double asked = 0;
-    double got = 0;
-    double bestGot = 0;
+    double received = 0;
+    double bestReceived = 0;
 };
 
 /// Checks whether some customer was underserved for six seconds in a row. That is the case if, in
@@ -23,30 +23,30 @@
 /// half of the tokens due to it in total. For each second, the tokens due are the smaller of what
 /// the customer asked for and what the best served customer got. Three of its largest requests are
 /// tolerated.
-class FairnessJudge
+class FairnessChecker
 {
 public:
-    FairnessJudge(std::size_t customers, std::size_t seconds);
+    FairnessChecker(std::size_t customers, std::size_t seconds);
 
-    void asked(std::size_t customer, double tokens, Base::Duration at);
-    void got(std::size_t customer, double tokens, Base::Duration at);
+    void recordAsked(std::size_t customer, double tokens, Base::Duration at);
+    void recordReceived(std::size_t customer, double tokens, Base::Duration at);
     /// Records that a request was refused, or started after its target.
-    void waited(std::size_t customer, Base::Duration at);
+    void recordDelayed(std::size_t customer, Base::Duration at);
 
-    std::optional<HeldDown> heldDown() const;
+    std::optional<UnderservedPeriod> findUnderserved() const;
     double served() const;
     double servedOf(std::size_t customer) const;
-    double gotIn(std::size_t customer, std::size_t second) const
+    double receivedIn(std::size_t customer, std::size_t second) const
     {
-        return m_seconds[customer][second].got;
+        return m_seconds[customer][second].received;
     }
 
 private:
     struct Second
     {
         double asked = 0;
-        double got = 0;
-        bool hasWaited = false;
+        double received = 0;
+        bool wasDelayed = false;
     };
 
     Second *secondOf(std::size_t customer, Base::Duration at);
@@ -55,4 +55,4 @@
     std::vector<double> m_largest;
 };
 
-std::string describe(const HeldDown &it);
+std::string describe(const UnderservedPeriod &it);
--- a/tests/auto/routing/fleetmodel.cpp
+++ b/tests/auto/routing/fleetmodel.cpp
@@ -54,7 +54,7 @@
 
 FleetModel::FleetModel(const FleetScenario &scenario)
     : m_scenario(scenario)
-    , m_judge(scenario.customers.size(), secondsOf(scenario.length))
+    , m_fairness(scenario.customers.size(), secondsOf(scenario.length))
     , m_random(scenario.seed)
     , m_hosts(scenario.hosts)
     , m_due(scenario.customers.size())
@@ -149,7 +149,7 @@
     const std::size_t host = hostFor(load);
     const Routing::WorkId id = ++m_lastId;
     m_requests[id] = {customer, host, m_now, firstAsked, isRetry, false};
-    m_judge.asked(customer, tokensOf(load), m_now - m_start);
+    m_fairness.recordAsked(customer, tokensOf(load), m_now - m_start);
     m_hosts[host].tasks.push_back({Task::Kind::Request, id, m_now});
 }
 
@@ -237,9 +237,9 @@
         free = std::max(free, m_now)
                + std::chrono::duration_cast<Base::Duration>(
                    std::chrono::duration<double, std::milli>(readMs));
-        m_judge.got(request.customer, tokensOf(load), free - m_start);
+        m_fairness.recordReceived(request.customer, tokensOf(load), free - m_start);
         if (free - request.firstAsked > target)
-            m_judge.waited(request.customer, free - m_start);
+            m_fairness.recordDelayed(request.customer, free - m_start);
         m_events.insert({free, {host, {Task::Kind::FirstEvent, it.work, free}}});
         Base::TimePoint at = free;
         for (unsigned i = 1; i < load.events; ++i) {
@@ -255,7 +255,7 @@
     const auto it = m_requests.find(id);
     const Request request = it->second;
     m_requests.erase(it);
-    m_judge.waited(request.customer, m_now - m_start);
+    m_fairness.recordDelayed(request.customer, m_now - m_start);
     if (!request.isRetry)
         m_retries.insert({m_now + retryAfter + milliseconds(20), request});
 }
--- a/tests/auto/routing/fleetmodel.h
+++ b/tests/auto/routing/fleetmodel.h
@@ -58,7 +58,7 @@
     explicit FleetModel(const FleetScenario &scenario);
     /// Runs the whole scenario.
     void play();
-    const FairnessJudge &judge() const { return m_judge; }
+    const FairnessChecker &fairness() const { return m_fairness; }
 
 private:
     struct Request
@@ -104,7 +104,7 @@
     void deliver();
 
     FleetScenario m_scenario;
-    FairnessJudge m_judge;
+    FairnessChecker m_fairness;
     std::mt19937_64 m_random;
     Base::TimePoint m_now{std::chrono::seconds(1000)};
     Base::TimePoint m_start{m_now};
--- a/tests/auto/routing/tst_fleetfairness.cpp
+++ b/tests/auto/routing/tst_fleetfairness.cpp
@@ -24,12 +24,12 @@
 }
 
 /// Returns a description of an underserved customer, or an empty text if there is none.
-std::string heldDownIn(const FleetScenario &scenario)
+std::string underservedIn(const FleetScenario &scenario)
 {
     FleetModel model(scenario);
     model.play();
-    const auto heldDown = model.judge().heldDown();
-    return heldDown ? describe(*heldDown) : std::string();
+    const auto underserved = model.fairness().findUnderserved();
+    return underserved ? describe(*underserved) : std::string();
 }
 
 /// A large customer floods, then a second one, then a small one, while more and more hosts are
@@ -87,11 +87,11 @@
     return scenario;
 }
 
-void checkNobodyIsHeldDown(CallersAt callersAt)
+void checkNobodyIsUnderserved(CallersAt callersAt)
 {
-    const std::string heldDown = heldDownIn(drawScenario(callersAt));
-    if (!heldDown.empty())
-        RC_FAIL(heldDown);
+    const std::string underserved = underservedIn(drawScenario(callersAt));
+    if (!underserved.empty())
+        RC_FAIL(underserved);
 }
 
 } // namespace
@@ -104,7 +104,7 @@
         FleetScenario scenario = floodsInTurn();
         scenario.seed = seed;
         INFO("seed " << seed);
-        CHECK(heldDownIn(scenario).empty());
+        CHECK(underservedIn(scenario).empty());
     }
 }
 
@@ -112,12 +112,13 @@
           "[routing][fleet]")
 {
     // Guards against a customer that gets less than half of what the best served one gets.
-    rc::prop("callers use the listed hosts", [] { checkNobodyIsHeldDown(CallersAt::NamedHosts); });
+    rc::prop("callers use the listed hosts",
+             [] { checkNobodyIsUnderserved(CallersAt::NamedHosts); });
 }
 
 TEST_CASE("no customer is underserved if callers stay with their hosts", "[routing][fleet]")
 {
     // Guards against a customer whose callers all stay with one host that is behind.
     rc::prop("callers stay with one host, stay with three, or use the listed hosts",
-             [] { checkNobodyIsHeldDown(CallersAt::AnyHosts); });
+             [] { checkNobodyIsUnderserved(CallersAt::AnyHosts); });
 }
