--- a/tests/auto/routing/fleetmodel.cpp
+++ b/tests/auto/routing/fleetmodel.cpp
@@ -80,7 +80,7 @@
     }
 }
 
-void FleetModel::play()
+void FleetModel::run()
 {
     Base::TimePoint nextReport = m_now + reportInterval;
     Base::TimePoint nextNames = m_now + nameInterval;
--- a/tests/auto/routing/fleetmodel.h
+++ b/tests/auto/routing/fleetmodel.h
@@ -57,7 +57,7 @@
 public:
     explicit FleetModel(const FleetScenario &scenario);
     /// Runs the whole scenario.
-    void play();
+    void run();
     const FairnessChecker &fairness() const { return m_fairness; }
 
 private:
--- a/tests/auto/routing/tst_backlogwatch.cpp
+++ b/tests/auto/routing/tst_backlogwatch.cpp
@@ -42,7 +42,8 @@
 /// prompts and twenty events, the others short prompts and thirty events. A request costs 125 us,
 /// an event 40 us, a refusal 80 us. Connections that would wait for longer than \a
 /// maxConnectionWait are not accepted.
-Outcome play(int streamsPerSecond, bool chooses, Base::Duration callersWait = Base::Duration::max())
+Outcome simulate(int streamsPerSecond, bool chooses,
+                 Base::Duration callersWait = Base::Duration::max())
 {
     const Base::TimePoint firstSecondOver{seconds(101)};
     Base::TimePoint now{seconds(100)};
@@ -92,7 +93,7 @@
 /// Simulates ten seconds on a host of 0.12 cores. One customer sends streams with long prompts and
 /// short answers, another one streams with short prompts and long answers, each at its own rate per
 /// second.
-PerCustomer playTwo(int longPerSecond, int shortPerSecond)
+PerCustomer simulateTwo(int longPerSecond, int shortPerSecond)
 {
     Base::TimePoint now{seconds(100)};
     BacklogWatch watch(120);
@@ -139,8 +140,8 @@
     // Guards against a host that admits every stream while a large customer's callers stay with it.
     // Its backlog then grows with every second: the streams end unfinished, and for fifteen seconds
     // nobody else can connect.
-    CHECK(play(330, false).longestWait > seconds(10));
-    CHECK(play(330, true).longestWait < milliseconds(1200));
+    CHECK(simulate(330, false).longestWait > seconds(10));
+    CHECK(simulate(330, true).longestWait < milliseconds(1200));
 }
 
 TEST_CASE("a host that is behind admits the streams with the highest ratio of service to cost",
@@ -149,7 +150,7 @@
     // Guards against a host that spends its processor on the many events of small streams. A stream
     // costs 1,300 us, of which a long prompt uses 925, and the host's customer would get a tenth of
     // what others get.
-    const Outcome outcome = play(330, true);
+    const Outcome outcome = simulate(330, true);
     // If it admitted all streams, a host that keeps up would serve 106 streams of 9,230 tokens per
     // second.
     CHECK(outcome.servedTokens > 1.3 * 10 * 106 * 9230);
@@ -162,7 +163,7 @@
     // send 2,400 requests per second, while seven other hosts are idle. Refusing them uses the
     // whole processor, so the host is never idle. Guards against such a host refusing all streams
     // as long as the load lasts, although the pool has capacity.
-    const Outcome outcome = play(2400, true, seconds(1));
+    const Outcome outcome = simulate(2400, true, seconds(1));
     // Another customer got 450,000 tokens per second. Half of that is fair, and the bound adds half
     // as much again.
     CHECK(outcome.servedTokens > 1.5 * 10 * 450000 / 2);
@@ -172,8 +173,8 @@
 
 TEST_CASE("a host that keeps up refuses nothing", "[routing]")
 {
-    const Outcome all = play(90, false);
-    const Outcome chosen = play(90, true);
+    const Outcome all = simulate(90, false);
+    const Outcome chosen = simulate(90, true);
     CHECK(all.servedTokens == chosen.servedTokens);
     CHECK(all.longestWait == chosen.longestWait);
 }
@@ -184,7 +185,7 @@
     // Two customers' callers stay with one host that is behind. Guards against admitting only
     // streams with a high ratio of service to cost over all customers: all streams of one customer
     // have a lower ratio than those of the other, so it would get nothing.
-    const PerCustomer taken = playTwo(200, 100);
+    const PerCustomer taken = simulateTwo(200, 100);
     CHECK(taken.ofLong > 0);
     CHECK(taken.ofShort > 0.7 * taken.ofLong);
     CHECK(taken.ofShort < 1.4 * taken.ofLong);
@@ -194,9 +195,9 @@
           "[routing]")
 {
     // Guards against a host that serves the customer with the most requests.
-    const PerCustomer taken = playTwo(1500, 80);
+    const PerCustomer taken = simulateTwo(1500, 80);
     CHECK(taken.ofShort > 0.7 * taken.ofLong);
-    const PerCustomer other = playTwo(80, 1500);
+    const PerCustomer other = simulateTwo(80, 1500);
     CHECK(other.ofLong > 0.7 * other.ofShort);
 }
 
--- a/tests/auto/routing/tst_fleetfairness.cpp
+++ b/tests/auto/routing/tst_fleetfairness.cpp
@@ -27,7 +27,7 @@
 std::string underservedIn(const FleetScenario &scenario)
 {
     FleetModel model(scenario);
-    model.play();
+    model.run();
     const auto underserved = model.fairness().findUnderserved();
     return underserved ? describe(*underserved) : std::string();
 }
