--- a/tests/auto/routing/fleetmodel.cpp
+++ b/tests/auto/routing/fleetmodel.cpp
@@ -10,7 +10,7 @@
 constexpr Base::Duration tick = milliseconds(5);
 constexpr Base::Duration advanceInterval = milliseconds(25);
 constexpr Base::Duration reportInterval = milliseconds(200);
-constexpr Base::Duration nameInterval = milliseconds(500);
+constexpr Base::Duration listingInterval = milliseconds(500);
 /// The delay of a host's report to a leader plus that of the leader's sums.
 constexpr Base::Duration reportDelay = milliseconds(250);
 /// A caller disconnects if its request is not read within this time.
@@ -22,7 +22,7 @@
 constexpr double requestCost = 0.125;
 constexpr double eventCost = 0.04;
 constexpr double refusalCost = 0.08;
-constexpr std::size_t mostNewHosts = 2;
+constexpr std::size_t maxNewHosts = 2;
 
 double tokensOf(const CustomerLoad &load)
 {
@@ -58,7 +58,7 @@
     , m_random(scenario.seed)
     , m_hosts(scenario.hosts)
     , m_due(scenario.customers.size())
-    , m_namedHosts(static_cast<double>(scenario.namedHosts))
+    , m_listedHosts(static_cast<double>(scenario.listedHosts))
 {
     std::vector<Routing::RegisteredServer> servers(scenario.engines);
     for (std::size_t i = 0; i < servers.size(); ++i) {
@@ -83,7 +83,7 @@
 void FleetModel::run()
 {
     Base::TimePoint nextReport = m_now + reportInterval;
-    Base::TimePoint nextNames = m_now + nameInterval;
+    Base::TimePoint nextListing = m_now + listingInterval;
     Base::TimePoint nextAdvance = m_now;
     const double tickSeconds = std::chrono::duration<double>(tick).count();
     for (const Base::TimePoint end = m_now + m_scenario.length; m_now < end; m_now += tick) {
@@ -118,10 +118,10 @@
             nextReport += reportInterval;
             report();
         }
-        if (m_now >= nextNames) {
-            nextNames += nameInterval;
+        if (m_now >= nextListing) {
+            nextListing += listingInterval;
             if (isFlooding())
-                m_namedHosts += mostNewHosts;
+                m_listedHosts += maxNewHosts;
         }
     }
 }
@@ -137,9 +137,9 @@
 
 std::size_t FleetModel::hostFor(const CustomerLoad &load)
 {
-    const auto named = std::min(static_cast<std::size_t>(m_namedHosts), m_hosts.size());
+    const auto listed = std::min(static_cast<std::size_t>(m_listedHosts), m_hosts.size());
     if (load.hosts == 0)
-        return m_random() % named;
+        return m_random() % listed;
     return (load.firstHost + m_random() % load.hosts) % m_hosts.size();
 }
 
--- a/tests/auto/routing/fleetmodel.h
+++ b/tests/auto/routing/fleetmodel.h
@@ -35,7 +35,7 @@
     std::size_t hosts = 24;
     /// The number of hosts that callers are told to use at first. Two more are listed every half
     /// second while a customer floods.
-    std::size_t namedHosts = 8;
+    std::size_t listedHosts = 8;
     std::size_t engines = 24;
     std::vector<CustomerLoad> customers;
     /// The share of a host's processor that is available, and the ratio of the actual to the
@@ -116,5 +116,5 @@
     std::multimap<Base::TimePoint, std::pair<std::size_t, Task>> m_events;
     std::multimap<Base::TimePoint, Request> m_retries;
     Routing::WorkId m_lastId = 0;
-    double m_namedHosts = 0;
+    double m_listedHosts = 0;
 };
--- a/tests/auto/routing/tst_entryselection.cpp
+++ b/tests/auto/routing/tst_entryselection.cpp
@@ -111,14 +111,14 @@
         }
         EntrySelection selection;
         selection.update(hosts, start);
-        std::set<Base::ZoneId> named;
+        std::set<Base::ZoneId> listed;
         double capacity = 0;
         for (const EntryHost &it : selection.chosen()) {
-            named.insert(it.zone);
+            listed.insert(it.zone);
             capacity += it.capacity;
         }
         RC_ASSERT(namesOf(selection).size() == selection.chosen().size());
-        RC_ASSERT(named == used);
+        RC_ASSERT(listed == used);
         if (hosts.size() <= 8)
             RC_ASSERT(selection.chosen().size() == hosts.size());
         RC_ASSERT(selection.chosen().size() == hosts.size() || capacity >= 3 * load);
--- a/tests/auto/routing/tst_fleetfairness.cpp
+++ b/tests/auto/routing/tst_fleetfairness.cpp
@@ -50,7 +50,7 @@
 }
 
 /// The hosts that a customer's callers use.
-enum class CallersAt { NamedHosts, AnyHosts };
+enum class CallersAt { ListedHosts, AnyHosts };
 
 CustomerLoad drawCustomer(const std::string &name, double requestsPerSecond, CallersAt callersAt,
                           std::size_t hosts)
@@ -113,7 +113,7 @@
 {
     // Guards against a customer that gets less than half of what the best served one gets.
     rc::prop("callers use the listed hosts",
-             [] { checkNobodyIsUnderserved(CallersAt::NamedHosts); });
+             [] { checkNobodyIsUnderserved(CallersAt::ListedHosts); });
 }
 
 TEST_CASE("no customer is underserved if callers stay with their hosts", "[routing][fleet]")
