--- a/tests/auto/routing/fleetmodel.cpp
+++ b/tests/auto/routing/fleetmodel.cpp
@@ -74,9 +74,9 @@
         host.dispatcher->setServers(servers);
         host.others.hosts = scenario.hosts;
         host.dispatcher->setOthers(host.others);
-        host.backlog = std::make_unique<Routing::BacklogWatch>(
+        host.admission = std::make_unique<Routing::BacklogWatch>(
             static_cast<Routing::MilliCores>(scenario.processorShare * 1000));
-        host.backlog->noteIdle(m_now);
+        host.admission->noteIdle(m_now);
     }
 }
 
@@ -165,7 +165,7 @@
         it.budgetMs -= perform(host, task) * m_scenario.slowness;
     }
     if (it.tasks.empty())
-        it.backlog->noteIdle(m_now);
+        it.admission->noteIdle(m_now);
 }
 
 double FleetModel::perform(std::size_t host, const Task &task)
@@ -176,10 +176,10 @@
         return receive(host, task.id);
     case Task::Kind::FirstEvent:
         it.dispatcher->started(task.id, m_now);
-        it.backlog->noteEvents(1);
+        it.admission->noteEvents(1);
         return eventCost;
     case Task::Kind::Event:
-        it.backlog->noteEvents(1);
+        it.admission->noteEvents(1);
         return eventCost;
     case Task::Kind::End:
         apply(host, it.dispatcher->finished(task.id, Routing::AttemptOutcome::Served, m_now));
@@ -199,7 +199,7 @@
         return 0;
     }
     Routing::Work work = workOf(id, load);
-    if (!it.backlog->takesStream(work, m_now)) {
+    if (!it.admission->takesStream(work, m_now)) {
         it.dispatcher->turnedAwayBefore(work, m_now);
         refused(id, milliseconds(400));
         return refusalCost;
@@ -226,7 +226,7 @@
 {
     for (const Routing::TurnedAway &it : decisions.turnedAway) {
         const CustomerLoad &load = m_scenario.customers[m_requests.at(it.work).customer];
-        m_hosts[host].backlog->giveBack(workOf(it.work, load), m_now);
+        m_hosts[host].admission->giveBack(workOf(it.work, load), m_now);
         refused(it.work, it.retryAfter);
     }
     for (const Routing::Placement &it : decisions.placements) {
--- a/tests/auto/routing/fleetmodel.h
+++ b/tests/auto/routing/fleetmodel.h
@@ -80,7 +80,7 @@
     struct Host
     {
         std::unique_ptr<Routing::Dispatcher> dispatcher;
-        std::unique_ptr<Routing::BacklogWatch> backlog;
+        std::unique_ptr<Routing::BacklogWatch> admission;
         Routing::OthersLoad others;
         std::deque<Task> tasks;
         double budgetMs = 0;
--- a/tests/auto/routing/tst_backlogwatch.cpp
+++ b/tests/auto/routing/tst_backlogwatch.cpp
@@ -47,8 +47,8 @@
 {
     const Base::TimePoint firstSecondOver{seconds(101)};
     Base::TimePoint now{seconds(100)};
-    BacklogWatch watch(120);
-    watch.noteIdle(now);
+    BacklogWatch admission(120);
+    admission.noteIdle(now);
     Outcome outcome;
     double backlog = 0;
     double due = 0;
@@ -61,13 +61,13 @@
             if (waitFor(backlog) > callersWait)
                 continue;
             const Work work = isLong ? stream(17000, 480) : stream(1460, 700);
-            if (chooses && !watch.takesStream(work, now)) {
+            if (chooses && !admission.takesStream(work, now)) {
                 backlog += 0.08;
                 continue;
             }
             const double cost = 0.125 + 0.04 * (isLong ? 20 : 30);
             backlog += cost;
-            watch.noteEvents(isLong ? 20 : 30);
+            admission.noteEvents(isLong ? 20 : 30);
             if (now >= firstSecondOver)
                 outcome.promisedMilliseconds += cost;
             outcome.servedTokens += work.promptTokens;
@@ -75,7 +75,7 @@
         backlog -= processorShare;
         if (backlog <= 0) {
             backlog = 0;
-            watch.noteIdle(now);
+            admission.noteIdle(now);
         }
         outcome.longestWait = std::max(outcome.longestWait, waitFor(backlog));
     }
@@ -96,8 +96,8 @@
 PerCustomer simulateTwo(int longPerSecond, int shortPerSecond)
 {
     Base::TimePoint now{seconds(100)};
-    BacklogWatch watch(120);
-    watch.noteIdle(now);
+    BacklogWatch admission(120);
+    admission.noteIdle(now);
     PerCustomer taken;
     double backlog = 0;
     double dueLong = 0;
@@ -113,13 +113,13 @@
             (isLong ? dueLong : dueShort) -= 1;
             Work work = isLong ? stream(17000, 480) : stream(1460, 700);
             work.customer = Base::CustomerId(isLong ? "long" : "short");
-            if (!watch.takesStream(work, now)) {
+            if (!admission.takesStream(work, now)) {
                 backlog += 0.08;
                 continue;
             }
             const double cost = 0.125 + 0.04 * (isLong ? 20 : 30);
             backlog += cost;
-            watch.noteEvents(isLong ? 20 : 30);
+            admission.noteEvents(isLong ? 20 : 30);
             if (ms >= 2000)
                 (isLong ? taken.ofLong : taken.ofShort) += cost;
         }
@@ -127,7 +127,7 @@
         dueShort = std::min(dueShort, 1.0);
         backlog = std::max(backlog - processorShare, 0.0);
         if (backlog <= 0)
-            watch.noteIdle(now);
+            admission.noteIdle(now);
     }
     return taken;
 }
@@ -207,8 +207,8 @@
     // Guards against a share that stays unused because few of a customer's streams have a ratio
     // above their mean.
     Base::TimePoint now{seconds(100)};
-    BacklogWatch watch(120);
-    watch.noteIdle(now);
+    BacklogWatch admission(120);
+    admission.noteIdle(now);
     double promised = 0;
     double backlog = 0;
     for (int i = 0; i < 20000; ++i) {
@@ -216,16 +216,16 @@
         backlog -= processorShare / 2;
         if (backlog <= 0) {
             backlog = 0;
-            watch.noteIdle(now);
+            admission.noteIdle(now);
         }
         if (waitFor(backlog) > seconds(1))
             continue;
         const Work work = i % 100 == 0 ? stream(40000, 400) : stream(1000, 400);
-        if (!watch.takesStream(work, now)) {
+        if (!admission.takesStream(work, now)) {
             backlog += 0.08;
             continue;
         }
-        watch.noteEvents(20);
+        admission.noteEvents(20);
         backlog += 0.125 + 0.04 * 20;
         if (i >= 4000)
             promised += 0.125 + 0.04 * 20;
@@ -238,8 +238,8 @@
 {
     // Guards against a host that serves nobody else during a flood that is beyond its share.
     Base::TimePoint now{seconds(100)};
-    BacklogWatch watch(120);
-    watch.noteIdle(now);
+    BacklogWatch admission(120);
+    admission.noteIdle(now);
     now += seconds(1);
     Work flood = stream(17000, 480);
     flood.customer = Base::CustomerId("flood");
@@ -248,9 +248,9 @@
     std::size_t taken = 0;
     for (int ms = 0; ms < 5000; ++ms) {
         now += milliseconds(1);
-        if (watch.takesStream(flood, now))
-            watch.giveBack(flood, now);
-        if (ms % 100 == 0 && watch.takesStream(small, now))
+        if (admission.takesStream(flood, now))
+            admission.giveBack(flood, now);
+        if (ms % 100 == 0 && admission.takesStream(small, now))
             ++taken;
     }
     CHECK(taken >= 45);
--- a/tests/auto/routing/tst_costobserver.cpp
+++ b/tests/auto/routing/tst_costobserver.cpp
@@ -39,9 +39,9 @@
 /// arrive that refusing them uses more than the other half of the processor.
 double promisedPart(double slowness)
 {
-    BacklogWatch watch(capacity);
+    BacklogWatch admission(capacity);
     Base::TimePoint now = start;
-    watch.noteIdle(now);
+    admission.noteIdle(now);
     double budget = 0;
     double promised = 0;
     double due = 0;
@@ -57,12 +57,12 @@
             // The host alternates between the events of admitted streams and new requests.
             if (events > 0 && (events > 20 || waiting == 0)) {
                 --events;
-                watch.noteEvents(1);
+                admission.noteEvents(1);
                 budget -= 0.04 * slowness;
                 continue;
             }
             --waiting;
-            const bool isTaken = watch.takesStream(stream(), now);
+            const bool isTaken = admission.takesStream(stream(), now);
             budget -= (isTaken ? 0.125 : 0.08) * slowness;
             if (!isTaken)
                 continue;
@@ -72,7 +72,7 @@
         }
         if (waiting + events == 0) {
             budget = 0;
-            watch.noteIdle(now);
+            admission.noteIdle(now);
         }
     }
     return promised / (4000 * processorShare);
