--- a/src/libs/routing/backlogwatch.cpp
+++ b/src/libs/routing/backlogwatch.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// The weight of the latest stream in means, which thus cover some dozens of streams.
-constexpr double newest = 0.03;
+constexpr double newestWeight = 0.03;
 /// The share of the processor that a host which is far behind spends on streams. The rest goes to
 /// refusals, so that refused callers learn of it while they can still ask another host.
 constexpr double streamShare = 0.5;
@@ -22,12 +22,12 @@
 constexpr Base::Duration maxDebtSpan = std::chrono::milliseconds(600);
 /// The assumed number of events for each token that a caller allows, until streams have been
 /// forwarded. Callers allow four times what is generated, and an event holds about five tokens.
-constexpr double presumedEventsPerToken = 0.05;
+constexpr double assumedEventsPerToken = 0.05;
 /// The number of tokens with which the assumption is weighted: those of about twenty streams.
-constexpr double presumedTokens = 10000;
+constexpr double assumedTokens = 10000;
 constexpr double milliCoresOfCore = 1000;
 /// The share of its level up to which a customer gets any stream admitted.
-constexpr double anyStreamPart = 0.5;
+constexpr double anyStreamShare = 0.5;
 /// The interval at which the levels are updated. Updating them with each stream would cost more
 /// than a refusal.
 constexpr Base::Duration levelInterval = std::chrono::milliseconds(100);
@@ -43,10 +43,10 @@
 }
 
 /// Adds \a density to \a mean, and returns whether it is at least as high as the new mean.
-bool servesMuch(double density, double &usual)
+bool recordDensity(double density, double &mean)
 {
-    usual += (density - usual) * newest;
-    return density >= usual;
+    mean += (density - mean) * newestWeight;
+    return density >= mean;
 }
 
 Base::Duration microseconds(double count)
@@ -85,57 +85,57 @@
 {
     const double density = static_cast<double>(work.promptTokens)
                            / static_cast<double>(std::max(work.outputTokens, 1U));
-    const bool servesItsMost = servesMuch(density, m_usualDensities[work.customer]);
+    const bool isDense = recordDensity(density, m_meanDensities[work.customer]);
     refill(now);
     const double cost = inMicroseconds(expectedCost(work));
     m_asked.add(work.customer, cost, now);
     updateLevels(now);
-    const double taken = m_taken.value(work.customer, now);
+    const double admitted = m_admitted.value(work.customer, now);
     const Base::Duration busy = now - m_idleAt;
-    bool isTaken = busy < choosyAfter;
-    if (!isTaken && busy < rationedAfter) {
-        isTaken = servesItsMost && taken < m_choosyLevel;
-    } else if (!isTaken) {
-        const double mayTake = m_rationedLevel * (servesItsMost ? 1 : anyStreamPart);
-        isTaken = m_credit > Base::Duration::zero() && taken < mayTake;
+    bool isAdmitted = busy < selectiveAfter;
+    if (!isAdmitted && busy < rationedAfter) {
+        isAdmitted = isDense && admitted < m_selectiveLevel;
+    } else if (!isAdmitted) {
+        const double limit = m_rationedLevel * (isDense ? 1 : anyStreamShare);
+        isAdmitted = m_credit > Base::Duration::zero() && admitted < limit;
     }
-    if (isTaken) {
+    if (isAdmitted) {
         charge(work);
-        m_taken.add(work.customer, cost, now);
+        m_admitted.add(work.customer, cost, now);
         noteRequest(now);
     } else {
         noteRefusal(now);
     }
-    return isTaken;
+    return isAdmitted;
 }
 
 void BacklogWatch::giveBack(const Work &work, Base::TimePoint now)
 {
     const Base::Duration cost = expectedCost(work);
     m_credit += cost;
-    m_taken.add(work.customer, -inMicroseconds(cost), now);
+    m_admitted.add(work.customer, -inMicroseconds(cost), now);
     m_cost.addWork(
         microseconds(ForwardingMeter::refusalMicroseconds - ForwardingMeter::requestMicroseconds));
 }
 
 void BacklogWatch::updateLevels(Base::TimePoint now)
 {
-    if (m_levelAt != Base::TimePoint::min() && now - m_levelAt < levelInterval)
+    if (m_levelsAt != Base::TimePoint::min() && now - m_levelsAt < levelInterval)
         return;
-    m_levelAt = now;
+    m_levelsAt = now;
     std::map<Base::CustomerId, double> asked;
     m_asked.addTo(asked, now);
     constexpr double microsecondsOfSecond = 1e6;
     const double capacity =
         m_capacity / milliCoresOfCore * DecayingSum::timeConstantSeconds() * microsecondsOfSecond;
-    m_choosyLevel = maxMinLevel(asked, capacity);
+    m_selectiveLevel = maxMinLevel(asked, capacity);
     m_rationedLevel = maxMinLevel(asked, capacity * streamShare);
 }
 
 Base::Duration BacklogWatch::expectedCost(const Work &work) const
 {
     const double eventsPerToken =
-        (m_events + presumedTokens * presumedEventsPerToken) / (m_allowedTokens + presumedTokens);
+        (m_events + assumedTokens * assumedEventsPerToken) / (m_allowedTokens + assumedTokens);
     const double events = eventsPerToken * work.outputTokens;
     return microseconds(
         (ForwardingMeter::requestMicroseconds + ForwardingMeter::eventMicroseconds * events)
@@ -153,8 +153,8 @@
 {
     const double share = streamShare * m_capacity / milliCoresOfCore;
     m_credit = std::max(m_credit - expectedCost(work), -scaled(maxDebtSpan, share));
-    m_events *= 1 - newest;
-    m_allowedTokens *= 1 - newest;
+    m_events *= 1 - newestWeight;
+    m_allowedTokens *= 1 - newestWeight;
     m_allowedTokens += work.outputTokens;
 }
 
--- a/src/libs/routing/backlogwatch.h
+++ b/src/libs/routing/backlogwatch.h
@@ -62,7 +62,7 @@
     /// completes work that arrived at one moment within that time.
     static constexpr Base::Duration busyAfter = std::chrono::milliseconds(60);
     /// The times without an idle moment after which the host counts as behind and as far behind.
-    static constexpr Base::Duration choosyAfter = std::chrono::milliseconds(150);
+    static constexpr Base::Duration selectiveAfter = std::chrono::milliseconds(150);
     static constexpr Base::Duration rationedAfter = std::chrono::milliseconds(500);
 
     void updateLevels(Base::TimePoint now);
@@ -76,16 +76,16 @@
     Base::TimePoint m_idleAt{};
     /// The mean ratio of prompt tokens to generated tokens over the streams that each customer
     /// requested.
-    std::map<Base::CustomerId, double> m_usualDensities;
+    std::map<Base::CustomerId, double> m_meanDensities;
     /// The processor time in microseconds of the streams that each customer requested, and of those
     /// that were admitted.
     DecayingSum m_asked;
-    DecayingSum m_taken;
+    DecayingSum m_admitted;
     /// The limits for the recently admitted processor time of one customer, on a host that is
     /// behind and on one that is far behind.
-    double m_choosyLevel = 0;
+    double m_selectiveLevel = 0;
     double m_rationedLevel = 0;
-    Base::TimePoint m_levelAt = Base::TimePoint::min();
+    Base::TimePoint m_levelsAt = Base::TimePoint::min();
     /// The processor time that may still be promised to streams. It is negative while too much is
     /// promised.
     Base::Duration m_credit{};
