--- a/src/libs/routing/costobserver.cpp
+++ b/src/libs/routing/costobserver.cpp
@@ -10,18 +10,18 @@
 
 /// The minimum length of a span that counts. Work that was recorded just before the span, or is
 /// unfinished at its end, is small compared to it.
-constexpr Base::Duration leastSpan = milliseconds(200);
+constexpr Base::Duration minSpan = milliseconds(200);
 /// A host that does not run for longer than this between two requests was suspended, and spent
 /// nothing in that time.
-constexpr Base::Duration longestStep = milliseconds(100);
+constexpr Base::Duration maxStep = milliseconds(100);
 /// The share of the previous sums that remains after each span; about five seconds count.
-constexpr double remains = 0.96;
+constexpr double retainedShare = 0.96;
 /// The length of an imaginary first span in which the work cost as much as estimated.
-constexpr Base::Duration presumedSpan = milliseconds(200);
+constexpr Base::Duration priorSpan = milliseconds(200);
 /// A host that is faster than estimated keeps the saved time for refusals and new connections. With
 /// a lower factor, its streams would crowd them out.
-constexpr double leastFactor = 1;
-constexpr double mostFactor = 8;
+constexpr double minFactor = 1;
+constexpr double maxFactor = 8;
 constexpr double milliCoresOfCore = 1000;
 
 Base::Duration scaled(Base::Duration span, double share)
@@ -38,29 +38,29 @@
 
 void CostObserver::advance(Base::TimePoint now)
 {
-    m_elapsed += std::min(now - m_advancedAt, longestStep);
+    m_elapsed += std::min(now - m_advancedAt, maxStep);
     m_advancedAt = now;
-    if (m_elapsed < leastSpan)
+    if (m_elapsed < minSpan)
         return;
     m_spentBefore =
-        scaled(m_spentBefore, remains) + scaled(m_elapsed, m_capacity / milliCoresOfCore);
-    m_reckonedBefore = scaled(m_reckonedBefore, remains) + m_reckoned;
+        scaled(m_spentBefore, retainedShare) + scaled(m_elapsed, m_capacity / milliCoresOfCore);
+    m_expectedBefore = scaled(m_expectedBefore, retainedShare) + m_expected;
     beginSpan(now);
 }
 
 double CostObserver::factor() const
 {
-    const Base::Duration presumed = scaled(presumedSpan, m_capacity / milliCoresOfCore);
-    const std::chrono::duration<double> spent = m_spentBefore + presumed;
-    const std::chrono::duration<double> reckoned = m_reckonedBefore + presumed;
-    return std::clamp(spent / reckoned, leastFactor, mostFactor);
+    const Base::Duration prior = scaled(priorSpan, m_capacity / milliCoresOfCore);
+    const std::chrono::duration<double> spent = m_spentBefore + prior;
+    const std::chrono::duration<double> expected = m_expectedBefore + prior;
+    return std::clamp(spent / expected, minFactor, maxFactor);
 }
 
 void CostObserver::beginSpan(Base::TimePoint now)
 {
     m_advancedAt = now;
     m_elapsed = Base::Duration::zero();
-    m_reckoned = Base::Duration::zero();
+    m_expected = Base::Duration::zero();
 }
 
 } // namespace Routing
--- a/src/libs/routing/costobserver.h
+++ b/src/libs/routing/costobserver.h
@@ -22,7 +22,7 @@
     /// Records that no work was left at \a now.
     void noteIdle(Base::TimePoint now);
     /// Records that work with the estimated cost \a cost was done.
-    void addWork(Base::Duration cost) { m_reckoned += cost; }
+    void addWork(Base::Duration cost) { m_expected += cost; }
     /// Updates the elapsed time. It should be called with each request.
     void advance(Base::TimePoint now);
     /// Returns the ratio of the observed to the estimated cost, which is at least 1. It is 1 before
@@ -36,10 +36,10 @@
     /// The state of the current span without an idle moment.
     Base::TimePoint m_advancedAt{};
     Base::Duration m_elapsed{};
-    Base::Duration m_reckoned{};
+    Base::Duration m_expected{};
     /// The sums over the previous spans, which decay with each span.
     Base::Duration m_spentBefore{};
-    Base::Duration m_reckonedBefore{};
+    Base::Duration m_expectedBefore{};
 };
 
 } // namespace Routing
