--- a/src/libs/routing/customerpacer.cpp
+++ b/src/libs/routing/customerpacer.cpp
@@ -15,7 +15,7 @@
 constexpr Base::Duration maxDebtSpan = std::chrono::seconds(1);
 /// The initial credit of a customer, as the time in which it accrues. All hosts grant it at the
 /// same time.
-constexpr Base::Duration firstCreditSpan = std::chrono::milliseconds(250);
+constexpr Base::Duration initialCreditSpan = std::chrono::milliseconds(250);
 
 double seconds(Base::Duration span)
 {
@@ -24,43 +24,43 @@
 
 } // namespace
 
-double CustomerRateLimiter::creditAt(const Allowance &allowance, Base::TimePoint now)
+double CustomerRateLimiter::creditAt(const TokenBucket &bucket, Base::TimePoint now)
 {
-    const double earned = allowance.tokensPerSecond * seconds(now - allowance.at);
-    return std::min(allowance.credit + earned, allowance.tokensPerSecond * seconds(maxCreditSpan));
+    const double earned = bucket.tokensPerSecond * seconds(now - bucket.at);
+    return std::min(bucket.credit + earned, bucket.tokensPerSecond * seconds(maxCreditSpan));
 }
 
 void CustomerRateLimiter::setRates(const std::map<Base::CustomerId, double> &rates,
                                    Base::TimePoint now)
 {
-    std::map<Base::CustomerId, Allowance> allowances;
+    std::map<Base::CustomerId, TokenBucket> buckets;
     for (const auto &[customer, rate] : rates) {
-        Allowance allowance{rate, 0, now};
-        const auto before = m_allowances.find(customer);
-        allowance.credit = before == m_allowances.end() ? rate * seconds(firstCreditSpan)
-                                                        : creditAt(before->second, now);
-        allowances[customer] = allowance;
+        TokenBucket bucket{rate, 0, now};
+        const auto before = m_buckets.find(customer);
+        bucket.credit = before == m_buckets.end() ? rate * seconds(initialCreditSpan)
+                                                  : creditAt(before->second, now);
+        buckets[customer] = bucket;
     }
-    m_allowances = std::move(allowances);
+    m_buckets = std::move(buckets);
 }
 
 bool CustomerRateLimiter::isAllowed(const Base::CustomerId &customer, Base::TimePoint now) const
 {
-    const auto it = m_allowances.find(customer);
-    return it == m_allowances.end() || creditAt(it->second, now) > 0;
+    const auto it = m_buckets.find(customer);
+    return it == m_buckets.end() || creditAt(it->second, now) > 0;
 }
 
 void CustomerRateLimiter::charge(const Base::CustomerId &customer, double tokens,
                                  Base::TimePoint now)
 {
-    const auto it = m_allowances.find(customer);
-    if (it == m_allowances.end())
+    const auto it = m_buckets.find(customer);
+    if (it == m_buckets.end())
         return;
-    Allowance &allowance = it->second;
+    TokenBucket &bucket = it->second;
     // One request may be larger than the maximum debt; it is charged completely.
-    const double most = std::max(tokens, allowance.tokensPerSecond * seconds(maxDebtSpan));
-    allowance.credit = std::max(creditAt(allowance, now) - tokens, -most);
-    allowance.at = now;
+    const double maxDebt = std::max(tokens, bucket.tokensPerSecond * seconds(maxDebtSpan));
+    bucket.credit = std::max(creditAt(bucket, now) - tokens, -maxDebt);
+    bucket.at = now;
 }
 
 } // namespace Routing
--- a/src/libs/routing/customerpacer.h
+++ b/src/libs/routing/customerpacer.h
@@ -26,16 +26,16 @@
     void charge(const Base::CustomerId &customer, double tokens, Base::TimePoint now);
 
 private:
-    struct Allowance
+    struct TokenBucket
     {
         double tokensPerSecond = 0;
         double credit = 0;
         Base::TimePoint at;
     };
 
-    static double creditAt(const Allowance &allowance, Base::TimePoint now);
+    static double creditAt(const TokenBucket &bucket, Base::TimePoint now);
 
-    std::map<Base::CustomerId, Allowance> m_allowances;
+    std::map<Base::CustomerId, TokenBucket> m_buckets;
 };
 
 } // namespace Routing
