--- a/src/libs/routing/customershares.cpp
+++ b/src/libs/routing/customershares.cpp
@@ -16,23 +16,23 @@
 /// A customer counts as underserved if it lacks at least this many tokens and at least this share
 /// of what it asked for. This is about two large requests, so that a single refusal by chance does
 /// not count.
-constexpr double unmetTokens = 40000;
-constexpr double unmetPart = 0.15;
+constexpr double minUnmetTokens = 40000;
+constexpr double minUnmetShare = 0.15;
 /// Spare capacity is for customers that have received at most this many times as much as the least
 /// served customer. Customers perceive a ratio of two as unfair. A lower ratio would leave capacity
 /// unused while reports of other hosts are on their way.
-constexpr double evenRatio = 1.6;
+constexpr double maxSpareRatio = 1.6;
 /// The same ratio for the rates at which customers are admitted. It is higher because a customer
 /// that is admitted at a rate gets somewhat less than that rate, and all rates would shrink step by
 /// step.
-constexpr double rateRatio = 2;
+constexpr double maxRateRatio = 2;
 /// The time for which a customer must be underserved before it limits the others. A customer whose
 /// demand jumps is underserved until its first events have come and the hosts have exchanged
 /// reports. Nothing is wrong then, so the others are not held to its earlier amount.
-constexpr Base::Duration unmetTime = milliseconds(700);
+constexpr Base::Duration unmetDelay = milliseconds(700);
 /// The part of its share up to which a host admits a customer without a limit. A customer far below
 /// its share needs no limit, and a request that comes to a host for once is not delayed.
-constexpr double freePart = 0.5;
+constexpr double unlimitedShare = 0.5;
 /// The age of the reports of other hosts: up to a fifth of a second until a report, and twice that
 /// where it passes through leaders.
 constexpr Base::Duration reportAge = milliseconds(400);
@@ -41,8 +41,8 @@
 /// customer whose demand jumps finds capacity.
 constexpr double saturationTarget = 1.25;
 constexpr double growthGain = 0.6;
-constexpr double mostGrowth = 0.5;
-constexpr double mostCut = 0.3;
+constexpr double maxGrowth = 0.5;
+constexpr double maxCut = 0.3;
 /// The interval at which the levels are updated. Reports of other hosts come this often.
 constexpr Base::Duration updateInterval = milliseconds(100);
 
@@ -82,14 +82,14 @@
 void CustomerShares::recordStarted(const Base::CustomerId &customer, double tokens,
                                    Base::TimePoint now)
 {
-    m_begun.add(customer, tokens, now);
+    m_started.add(customer, tokens, now);
 }
 
 void CustomerShares::report(HostLoad &load, Base::TimePoint now) const
 {
     m_asked.addTo(load.asked, now);
     m_received.addTo(load.received, now);
-    m_begun.addTo(load.begun, now);
+    m_started.addTo(load.begun, now);
     load.askedSeconds = std::max(load.askedSeconds, m_askedSeconds.value(allCustomers(), now));
 }
 
@@ -97,17 +97,17 @@
 {
     if (m_tokensPerSecond <= 0)
         return Admission::WithinShare;
-    const double has = received(customer, now);
+    const double receivedTokens = received(customer, now);
     const double share = shareLevel(now);
-    if (has < share * freePart)
+    if (receivedTokens < share * unlimitedShare)
         return Admission::WithinShare;
     if (!m_rateLimiter.isAllowed(customer, now))
         return Admission::Refused;
-    if (has < share)
+    if (receivedTokens < share)
         return Admission::WithinShare;
     // Both sides count tokens from the first event. If the customer were compared by the tokens
     // sent for it, the least served customer would limit itself.
-    return started(customer, now) < m_unmetLevel * evenRatio + unmetTokens
+    return started(customer, now) < m_unmetLevel * maxSpareRatio + minUnmetTokens
                ? Admission::SpareCapacity
                : Admission::Refused;
 }
@@ -120,7 +120,7 @@
 
 double CustomerShares::started(const Base::CustomerId &customer, Base::TimePoint now) const
 {
-    const double own = m_begun.value(customer, now);
+    const double own = m_started.value(customer, now);
     return m_peerLoad ? own + valueOf(m_peerLoad->begun, customer) : own;
 }
 
@@ -149,19 +149,19 @@
     // at once, and everybody would be turned away for the next two seconds.
     const double seconds = askedSeconds(now);
     // Servers that are lost or slow process less than the configured throughput.
-    const double told = m_tokensPerSecond * seconds * (1 + std::min(growth(), 0.0));
-    m_shareLevel = maxMinLevel(asked, told);
+    const double configuredCapacity = m_tokensPerSecond * seconds * (1 + std::min(growth(), 0.0));
+    m_shareLevel = maxMinLevel(asked, configuredCapacity);
     m_unmetLevel = std::numeric_limits<double>::infinity();
     std::map<Base::CustomerId, Base::TimePoint> unmetSince;
     for (const auto &[customer, amount] : asked) {
-        const double has = started(customer, now);
-        if (amount - has <= std::max(unmetTokens, amount * unmetPart))
+        const double startedTokens = started(customer, now);
+        if (amount - startedTokens <= std::max(minUnmetTokens, amount * minUnmetShare))
             continue;
         const auto before = m_unmetSince.find(customer);
         const Base::TimePoint since = before == m_unmetSince.end() ? now : before->second;
         unmetSince[customer] = since;
-        if (now - since >= unmetTime)
-            m_unmetLevel = std::min(m_unmetLevel, has);
+        if (now - since >= unmetDelay)
+            m_unmetLevel = std::min(m_unmetLevel, startedTokens);
     }
     m_unmetSince = std::move(unmetSince);
     updateRates(asked, seconds, now);
@@ -175,33 +175,34 @@
 
 double CustomerShares::growth() const
 {
-    return std::clamp(growthGain * (saturationTarget - m_saturation), -mostCut, mostGrowth);
+    return std::clamp(growthGain * (saturationTarget - m_saturation), -maxCut, maxGrowth);
 }
 
-double CustomerShares::spareLevel(const std::map<Base::CustomerId, double> &asked, double seconds,
-                                  Base::TimePoint now) const
+double CustomerShares::admissionLevel(const std::map<Base::CustomerId, double> &asked,
+                                      double seconds, Base::TimePoint now) const
 {
     double begun = 0;
     for (const auto &[customer, amount] : asked)
         begun += started(customer, now);
     const double capacity = std::max(m_tokensPerSecond * seconds, begun) * (1 + growth());
-    const double bound = m_unmetLevel * rateRatio + unmetTokens;
+    const double bound = m_unmetLevel * maxRateRatio + minUnmetTokens;
     return std::max(m_shareLevel, std::min(maxMinLevel(asked, capacity), bound));
 }
 
 void CustomerShares::updateRates(const std::map<Base::CustomerId, double> &asked, double seconds,
                                  Base::TimePoint now)
 {
-    m_askedThen.push_back({now, {}});
-    m_asked.addTo(m_askedThen.back().asked, now);
-    while (m_askedThen.size() > 1
-           && (now - m_askedThen[1].at >= reportAge || now - m_askedThen[0].at >= 2 * reportAge))
-        m_askedThen.pop_front();
-    const double level = spareLevel(asked, seconds, now);
+    m_demandHistory.push_back({now, {}});
+    m_asked.addTo(m_demandHistory.back().asked, now);
+    while (m_demandHistory.size() > 1
+           && (now - m_demandHistory[1].at >= reportAge
+               || now - m_demandHistory[0].at >= 2 * reportAge))
+        m_demandHistory.pop_front();
+    const double level = admissionLevel(asked, seconds, now);
     std::map<Base::CustomerId, double> rates;
     for (const auto &[customer, amount] : asked) {
         if (amount > level)
-            rates[customer] = level / seconds * ownPart(customer);
+            rates[customer] = level / seconds * ownDemandShare(customer);
     }
     // A single customer has nobody to share the capacity with.
     if (asked.size() == 1)
@@ -209,12 +210,12 @@
     m_rateLimiter.setRates(rates, now);
 }
 
-double CustomerShares::ownPart(const Base::CustomerId &customer) const
+double CustomerShares::ownDemandShare(const Base::CustomerId &customer) const
 {
-    const double leastPart = 1.0 / static_cast<double>(m_peerLoad ? m_peerLoad->hosts : 1);
-    const double own = valueOf(m_askedThen.front().asked, customer);
+    const double minShare = 1.0 / static_cast<double>(m_peerLoad ? m_peerLoad->hosts : 1);
+    const double own = valueOf(m_demandHistory.front().asked, customer);
     const double all = own + (m_peerLoad ? valueOf(m_peerLoad->asked, customer) : 0);
-    return all > 0 ? std::max(own / all, leastPart) : leastPart;
+    return all > 0 ? std::max(own / all, minShare) : minShare;
 }
 
 } // namespace Routing
--- a/src/libs/routing/customershares.h
+++ b/src/libs/routing/customershares.h
@@ -77,15 +77,15 @@
     double growth() const;
     /// Returns the level up to which each customer is admitted: the max-min level of the whole
     /// capacity, limited by the amount of the least served customer, but at least the share level.
-    double spareLevel(const std::map<Base::CustomerId, double> &asked, double seconds,
-                      Base::TimePoint now) const;
+    double admissionLevel(const std::map<Base::CustomerId, double> &asked, double seconds,
+                          Base::TimePoint now) const;
     void updateRates(const std::map<Base::CustomerId, double> &asked, double seconds,
                      Base::TimePoint now);
     /// Returns this host's part of the customer's demand, from 0 to 1.
-    double ownPart(const Base::CustomerId &customer) const;
+    double ownDemandShare(const Base::CustomerId &customer) const;
 
     /// What customers had asked for at this host at one moment.
-    struct AskedThen
+    struct DemandSample
     {
         Base::TimePoint at;
         std::map<Base::CustomerId, double> asked;
@@ -96,13 +96,13 @@
     double m_saturation = 0;
     DecayingSum m_asked;
     DecayingSum m_received;
-    DecayingSum m_begun;
+    DecayingSum m_started;
     /// The time in seconds in which anything was asked for, with the decay of the sums above.
     DecayingSum m_askedSeconds;
     double m_shareLevel = 0;
     /// The history of this host's demand. Its first entry is as old as the reports of the other
     /// hosts, so that the parts of all hosts add up to one.
-    std::deque<AskedThen> m_askedThen;
+    std::deque<DemandSample> m_demandHistory;
     CustomerRateLimiter m_rateLimiter;
     /// The served tokens of the least served customer among those that ask for more than they get.
     /// Tokens count from the first event and not from sending: a host that is behind sends requests
