--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -20,43 +20,44 @@
 /// The cost added to every server other than the rendezvous server of a beginning that is not
 /// cached anywhere. Hosts that see the same beginning at the same moment thus choose the same
 /// server, unless it is busy.
-constexpr double hashedMilliseconds = 60;
+constexpr double nonRendezvousMilliseconds = 60;
 /// Shorter beginnings are not reported to the other hosts: there are many of them, and reading one
 /// again costs less than reporting it.
-constexpr std::uint32_t leastToldTokens = 200;
+constexpr std::uint32_t minReportedTokens = 200;
 /// The share of its start target for which a request may wait here. A request that waits longer
 /// would start late at a server too, and another host or a later time serves its caller better.
-constexpr double waitShare = 0.5;
+constexpr double maxWaitShare = 0.5;
 /// The maximum number of requests that wait at this host. Each holds a body of about ten kilobytes.
-constexpr std::size_t mostWaiting = 400;
+constexpr std::size_t maxWaiting = 400;
 /// Generating a token costs an engine about as much as reading two tokens.
-constexpr double generatedWeight = 2;
+constexpr double generatedTokenWeight = 2;
 /// The expected ratio of generated to allowed tokens: callers allow about four times as many tokens
 /// as are generated.
-constexpr double generatedShare = 0.25;
+constexpr double expectedGeneratedShare = 0.25;
 /// The time from another host's report until the server has read the reported prompt. Servers have
 /// up to a third of a second of reading queued, and the report was on its way for a tenth of a
 /// second.
-constexpr Base::Duration toldReadingTime = milliseconds(200);
+constexpr Base::Duration reportedReadingTime = milliseconds(200);
 /// Nothing is fetched from a server whose share of failed attempts is this or higher.
 constexpr double maxSourceFailureShare = 0.15;
 /// The maximum number of waiting requests that one placement pass skips because their best server
 /// is full, in search of one whose server has capacity.
-constexpr std::size_t mostPassedOver = 24;
+constexpr std::size_t maxSkipped = 24;
 /// The minimum time between two placement passes. A pass takes up to a millisecond of a fast core,
 /// and requests end hundreds of times a second.
-constexpr Base::Duration drainInterval = milliseconds(10);
+constexpr Base::Duration placementInterval = milliseconds(10);
 /// The time between two passes that evict expired prompt parts. Expired parts are ignored in any
 /// case, and there are thousands of them.
-constexpr Base::Duration forgetInterval = std::chrono::seconds(1);
+constexpr Base::Duration evictionInterval = std::chrono::seconds(1);
 /// The time between two updates of the saturation. The reports of other hosts change it this often.
 constexpr Base::Duration saturationInterval = milliseconds(100);
-constexpr milliseconds leastRetryAfter{200};
-constexpr milliseconds mostRetryAfter{2000};
+constexpr milliseconds minRetryAfter{200};
+constexpr milliseconds maxRetryAfter{2000};
 
 double tokensOf(const Work &work)
 {
-    return 1 + work.promptTokens + generatedWeight * generatedShare * work.outputTokens;
+    return 1 + work.promptTokens
+           + generatedTokenWeight * expectedGeneratedShare * work.outputTokens;
 }
 
 bool wasTried(const Work &work, const Base::ServerId &server)
@@ -115,53 +116,53 @@
     if (work.tried.empty())
         m_shares.recordDemand(work.customer, tokensOf(work), now);
     if (m_servers.empty()) {
-        decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::NoServer, now));
+        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::NoServer, now));
         return decisions;
     }
     // A returning request was admitted before, and a server may have spent time on it. If it were
     // turned away now, its caller could not be told that it has not run.
-    const bool isBack = !work.tried.empty();
+    const bool isRetry = !work.tried.empty();
     const Admission admission =
-        isBack ? Admission::WithinShare : m_shares.admission(work.customer, now);
+        isRetry ? Admission::WithinShare : m_shares.admission(work.customer, now);
     // The refusal comes first: looking at a hundred servers would cost an overloaded host more than
     // the rest of the refusal.
     if (admission == Admission::Refused) {
-        decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::BeyondShare, now));
+        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::BeyondShare, now));
         return decisions;
     }
-    const bool takesAny = isBack || admission == Admission::SpareCapacity;
+    const bool onlyWithRoom = isRetry || admission == Admission::SpareCapacity;
     // Waiting requests mostly wait for servers that are full, so a new request may overtake them.
-    const std::optional<Choice> choice = choose(work, now, admission, takesAny);
-    if (choice && choice->hasRoom) {
-        if (!isBack)
+    const std::optional<Candidate> candidate = selectServer(work, now, admission, onlyWithRoom);
+    if (candidate && candidate->hasRoom) {
+        if (!isRetry)
             m_shares.recordAdmitted(work.customer, tokensOf(work), now);
-        place(std::move(work), *choice, now, decisions);
+        place(std::move(work), *candidate, now, decisions);
         return decisions;
     }
     if (admission != Admission::WithinShare) {
-        decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::BeyondShare, now));
+        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::BeyondShare, now));
         return decisions;
     }
-    if (m_waiting.size() >= mostWaiting) {
-        decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::QueueFull, now));
+    if (m_waiting.size() >= maxWaiting) {
+        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::QueueFull, now));
         return decisions;
     }
-    const Base::Duration mayWait =
-        std::chrono::duration_cast<Base::Duration>((work.startBy - work.arrivedAt) * waitShare);
-    if (now + waitBehind(work.customer) > work.arrivedAt + mayWait) {
+    const Base::Duration maxWait =
+        std::chrono::duration_cast<Base::Duration>((work.startBy - work.arrivedAt) * maxWaitShare);
+    if (now + expectedWait(work.customer) > work.arrivedAt + maxWait) {
         // A server that has to read more of the prompt is better than none.
-        if (const std::optional<Choice> any = choose(work, now, admission, true)) {
-            if (!isBack)
+        if (const std::optional<Candidate> any = selectServer(work, now, admission, true)) {
+            if (!isRetry)
                 m_shares.recordAdmitted(work.customer, tokensOf(work), now);
             place(std::move(work), *any, now, decisions);
             return decisions;
         }
-        decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::TooLate, now));
+        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::TooLate, now));
         return decisions;
     }
-    if (choice)
-        choice->state->awaitedTokens += choice->unreadTokens;
-    if (!isBack)
+    if (candidate)
+        candidate->state->queuedTokens += candidate->unreadTokens;
+    if (!isRetry)
         m_shares.recordAdmitted(work.customer, tokensOf(work), now);
     m_waiting.push(std::move(work));
     return decisions;
@@ -184,7 +185,7 @@
         return;
     Placed &placed = it->second;
     placed.isStarted = true;
-    fetchOver(placed);
+    releaseFetch(placed);
     m_shares.recordStarted(placed.work.customer, tokensOf(placed.work), now);
     const auto server = m_servers.find(placed.server);
     if (server == m_servers.end())
@@ -202,7 +203,7 @@
         return decisions;
     Placed placed = std::move(it->second);
     m_placed.erase(it);
-    fetchOver(placed);
+    releaseFetch(placed);
     const auto server = m_servers.find(placed.server);
     if (server != m_servers.end()) {
         ServerState &state = server->second;
@@ -213,25 +214,25 @@
         if (outcome == AttemptOutcome::Unreachable)
             state.cache.clear();
     }
-    if (!m_waiting.isEmpty() && now - m_drainedAt >= drainInterval)
-        drain(now, decisions);
+    if (!m_waiting.isEmpty() && now - m_placedWaitingAt >= placementInterval)
+        placeWaiting(now, decisions);
     return decisions;
 }
 
 Decisions Dispatcher::advance(Base::TimePoint now)
 {
     Decisions decisions;
-    if (now - m_forgotAt >= forgetInterval) {
-        m_forgotAt = now;
+    if (now - m_evictedAt >= evictionInterval) {
+        m_evictedAt = now;
         for (auto &[id, state] : m_servers)
             state.cache.evictExpired(now);
     }
-    if (now - m_measuredAt >= saturationInterval) {
-        m_measuredAt = now;
+    if (now - m_saturationAt >= saturationInterval) {
+        m_saturationAt = now;
         m_shares.setSaturation(saturation(now));
     }
-    drain(now, decisions);
-    turnAwayLate(now, decisions);
+    placeWaiting(now, decisions);
+    resolveOverdue(now, decisions);
     return decisions;
 }
 
@@ -257,68 +258,69 @@
     for (const PartUse &use : uses) {
         const auto server = m_servers.find(use.server);
         if (server != m_servers.end())
-            server->second.cache.recordUse(use.hash, now, now + toldReadingTime);
+            server->second.cache.recordUse(use.hash, now, now + reportedReadingTime);
     }
 }
 
-std::optional<Dispatcher::Choice> Dispatcher::choose(const Work &work, Base::TimePoint now,
-                                                     Admission admission, bool takesAny)
+std::optional<Dispatcher::Candidate> Dispatcher::selectServer(const Work &work, Base::TimePoint now,
+                                                              Admission admission,
+                                                              bool onlyWithRoom)
 {
     if (m_servers.empty())
         return std::nullopt;
     const std::vector<PrefixHash> prefixes = sharedPrefixHashes(work.parts);
-    m_kept.clear();
+    m_cachedTokens.clear();
     for (const auto &[id, state] : m_servers)
-        m_kept.push_back(state.cache.cachedTokens(prefixes, now));
-    const std::uint32_t mostKept = *std::max_element(m_kept.begin(), m_kept.end());
-    const bool isNew = !prefixes.empty() && mostKept < prefixes.back().tokensSoFar;
-    const KeptPrompt prompt{mostKept, isNew ? hashedServer(prefixes.back().hash) : nullptr,
-                            PrefixFetch(m_cost, sourcesFor(work, prefixes, now))};
-    std::optional<Choice> best;
-    auto keptHere = m_kept.begin();
+        m_cachedTokens.push_back(state.cache.cachedTokens(prefixes, now));
+    const std::uint32_t maxCached = *std::max_element(m_cachedTokens.begin(), m_cachedTokens.end());
+    const bool isNew = !prefixes.empty() && maxCached < prefixes.back().tokensSoFar;
+    const CachedPrefix prompt{maxCached, isNew ? selectByRendezvous(prefixes.back().hash) : nullptr,
+                              PrefixFetch(m_cost, sourcesFor(work, prefixes, now))};
+    std::optional<Candidate> best;
+    auto cachedHere = m_cachedTokens.begin();
     for (auto &[id, state] : m_servers) {
-        const std::uint32_t kept = *keptHere++;
+        const std::uint32_t cached = *cachedHere++;
         const bool isUsable = state.health.isUsable(now);
         const ServerSnapshot snapshot = snapshotOf(state, now);
-        const bool isRoom = isUsable && m_cost.hasRoom(snapshot, admission);
-        if (!isRoom && (takesAny || !isUsable))
+        const bool hasCapacity = isUsable && m_cost.hasRoom(snapshot, admission);
+        if (!hasCapacity && (onlyWithRoom || !isUsable))
             continue;
-        Choice choice = choiceOf(state, snapshot, work, kept, prompt, now);
-        choice.hasRoom = isRoom;
-        if (!best || choice.milliseconds < best->milliseconds)
-            best = std::move(choice);
+        Candidate candidate = evaluate(state, snapshot, work, cached, prompt, now);
+        candidate.hasRoom = hasCapacity;
+        if (!best || candidate.milliseconds < best->milliseconds)
+            best = std::move(candidate);
     }
     return best;
 }
 
-Dispatcher::Choice Dispatcher::choiceOf(ServerState &state, const ServerSnapshot &snapshot,
-                                        const Work &work, std::uint32_t cachedTokens,
-                                        const KeptPrompt &prompt, Base::TimePoint now) const
+Dispatcher::Candidate Dispatcher::evaluate(ServerState &state, const ServerSnapshot &snapshot,
+                                           const Work &work, std::uint32_t cachedTokens,
+                                           const CachedPrefix &prompt, Base::TimePoint now) const
 {
-    Choice choice;
-    choice.state = &state;
-    choice.fetch = prompt.fetch.plan(state.server.id, state.server.zone, cachedTokens);
-    const std::uint32_t there = cachedTokens + (choice.fetch ? choice.fetch->tokens : 0);
+    Candidate candidate;
+    candidate.state = &state;
+    candidate.fetch = prompt.fetch.plan(state.server.id, state.server.zone, cachedTokens);
+    const std::uint32_t available = cachedTokens + (candidate.fetch ? candidate.fetch->tokens : 0);
     if (m_cost.traits().isEngine)
-        choice.unreadTokens = work.promptTokens - std::min(there, work.promptTokens);
-    double &cost = choice.milliseconds;
-    cost = m_cost.startMilliseconds(snapshot, choice.unreadTokens);
-    if (choice.fetch)
-        cost += choice.fetch->milliseconds;
+        candidate.unreadTokens = work.promptTokens - std::min(available, work.promptTokens);
+    double &cost = candidate.milliseconds;
+    cost = m_cost.startMilliseconds(snapshot, candidate.unreadTokens);
+    if (candidate.fetch)
+        cost += candidate.fetch->milliseconds;
     // Requests that wait for the server are served first. Without this term, a hundred requests
     // with the same beginning would all wait for the server that has it cached, while others are
     // idle.
     if (m_cost.traits().isEngine)
-        cost += m_cost.readMilliseconds(static_cast<double>(state.awaitedTokens));
-    cost += m_cost.rereadMilliseconds(prompt.mostTokens - std::min(there, prompt.mostTokens));
+        cost += m_cost.readMilliseconds(static_cast<double>(state.queuedTokens));
+    cost += m_cost.rereadMilliseconds(prompt.maxTokens - std::min(available, prompt.maxTokens));
     cost += state.health.failureShare(now) * failureMilliseconds;
-    if (prompt.hashed && &state != prompt.hashed)
-        cost += hashedMilliseconds;
+    if (prompt.rendezvousServer && &state != prompt.rendezvousServer)
+        cost += nonRendezvousMilliseconds;
     if (state.server.zone != m_ownZone)
         cost += otherZoneMilliseconds;
     if (wasTried(work, state.server.id))
         cost += 10 * failureMilliseconds;
-    return choice;
+    return candidate;
 }
 
 std::vector<PrefixSource> Dispatcher::sourcesFor(const Work &work,
@@ -336,35 +338,35 @@
             continue;
         const std::uint32_t tokens = state.cache.fetchableTokens(prefixes, now);
         if (tokens > 0)
-            sources.push_back({id, state.server.zone, tokens, state.handingOutMilliseconds});
+            sources.push_back({id, state.server.zone, tokens, state.outgoingFetchMilliseconds});
     }
     return sources;
 }
 
-void Dispatcher::fetchOver(Placed &placed)
+void Dispatcher::releaseFetch(Placed &placed)
 {
     if (!placed.fetch)
         return;
     const auto source = m_servers.find(placed.fetch->from);
     if (source != m_servers.end()) {
-        double &handingOut = source->second.handingOutMilliseconds;
-        handingOut = std::max(0.0, handingOut - placed.fetch->milliseconds);
+        double &outgoing = source->second.outgoingFetchMilliseconds;
+        outgoing = std::max(0.0, outgoing - placed.fetch->milliseconds);
     }
     placed.fetch.reset();
 }
 
-const Dispatcher::ServerState *Dispatcher::hashedServer(std::uint64_t beginning) const
+const Dispatcher::ServerState *Dispatcher::selectByRendezvous(std::uint64_t beginning) const
 {
-    const ServerState *first = nullptr;
-    std::uint64_t least = 0;
+    const ServerState *selected = nullptr;
+    std::uint64_t lowest = 0;
     for (const auto &[id, state] : m_servers) {
         const std::uint64_t order = Base::stableHash(id.value(), beginning);
-        if (first && order >= least)
+        if (selected && order >= lowest)
             continue;
-        first = &state;
-        least = order;
+        selected = &state;
+        lowest = order;
     }
-    return first;
+    return selected;
 }
 
 ServerSnapshot Dispatcher::snapshotOf(const ServerState &state, Base::TimePoint now) const
@@ -396,103 +398,106 @@
     return usable > 0 ? sum / usable : 0;
 }
 
-void Dispatcher::place(Work work, const Choice &choice, Base::TimePoint now, Decisions &decisions)
+void Dispatcher::place(Work work, const Candidate &candidate, Base::TimePoint now,
+                       Decisions &decisions)
 {
-    ServerState &state = *choice.state;
+    ServerState &state = *candidate.state;
     Placed placed;
     placed.server = state.server.id;
-    placed.unreadTokens = choice.unreadTokens;
+    placed.unreadTokens = candidate.unreadTokens;
     placed.at = now;
     const ServerSnapshot snapshot = snapshotOf(state, now);
-    const double fetching = choice.fetch ? choice.fetch->milliseconds : 0;
-    const double expected = m_cost.startMilliseconds(snapshot, choice.unreadTokens) + fetching;
-    const std::uint32_t fetched = choice.fetch ? choice.fetch->tokens : 0;
-    const PlacementInputs inputs{choice.unreadTokens,        fetched,
+    const double fetching = candidate.fetch ? candidate.fetch->milliseconds : 0;
+    const double expected = m_cost.startMilliseconds(snapshot, candidate.unreadTokens) + fetching;
+    const std::uint32_t fetched = candidate.fetch ? candidate.fetch->tokens : 0;
+    const PlacementInputs inputs{candidate.unreadTokens,     fetched,
                                  snapshot.load.unreadTokens, snapshot.load.running,
                                  snapshot.slowness,          state.health.failureShare(now)};
     placed.expected = std::chrono::duration_cast<Base::Duration>(
         std::chrono::duration<double, std::milli>(expected));
     ++state.own.running;
-    state.own.unreadTokens += choice.unreadTokens;
+    state.own.unreadTokens += candidate.unreadTokens;
     if (m_cost.traits().isEngine)
-        notePartUses(state, work, now, now + placed.expected);
-    if (choice.fetch) {
-        placed.fetch = choice.fetch;
-        placed.fetch->milliseconds = m_cost.fetchMilliseconds(choice.fetch->tokens, false);
-        const auto source = m_servers.find(choice.fetch->from);
-        source->second.handingOutMilliseconds += placed.fetch->milliseconds;
+        recordPartUses(state, work, now, now + placed.expected);
+    if (candidate.fetch) {
+        placed.fetch = candidate.fetch;
+        placed.fetch->milliseconds = m_cost.fetchMilliseconds(candidate.fetch->tokens, false);
+        const auto source = m_servers.find(candidate.fetch->from);
+        source->second.outgoingFetchMilliseconds += placed.fetch->milliseconds;
     }
     m_shares.recordSent(work.customer, tokensOf(work), now);
-    decisions.placements.push_back(
-        {work.id, state.server.id, inputs, choice.fetch ? choice.fetch->from : Base::ServerId()});
+    decisions.placements.push_back({work.id, state.server.id, inputs,
+                                    candidate.fetch ? candidate.fetch->from : Base::ServerId()});
     const WorkId id = work.id;
     placed.work = std::move(work);
     m_placed[id] = std::move(placed);
 }
 
-void Dispatcher::notePartUses(ServerState &state, const Work &work, Base::TimePoint now,
-                              Base::TimePoint readBy)
+void Dispatcher::recordPartUses(ServerState &state, const Work &work, Base::TimePoint now,
+                                Base::TimePoint readBy)
 {
     for (const PrefixHash &prefix : sharedPrefixHashes(work.parts)) {
         state.cache.recordUse(prefix.hash, now, readBy);
-        if (prefix.tokensSoFar >= leastToldTokens && state.cache.shouldReport(prefix.hash, now))
+        if (prefix.tokensSoFar >= minReportedTokens && state.cache.shouldReport(prefix.hash, now))
             m_partUses.push_back({state.server.id, prefix.hash});
     }
 }
 
-void Dispatcher::drain(Base::TimePoint now, Decisions &decisions)
+void Dispatcher::placeWaiting(Base::TimePoint now, Decisions &decisions)
 {
-    std::vector<Work> passedOver;
-    m_drainedAt = now;
+    std::vector<Work> skipped;
+    m_placedWaitingAt = now;
     for (auto &[id, state] : m_servers)
-        state.awaitedTokens = 0;
-    while (!m_waiting.isEmpty() && passedOver.size() < mostPassedOver) {
-        const bool isRoom = std::any_of(m_servers.begin(), m_servers.end(), [&](const auto &it) {
-            return hasRoom(it.second, Admission::WithinShare, now);
-        });
-        if (!isRoom)
+        state.queuedTokens = 0;
+    while (!m_waiting.isEmpty() && skipped.size() < maxSkipped) {
+        const bool hasCapacity =
+            std::any_of(m_servers.begin(), m_servers.end(), [&](const auto &it) {
+                return hasRoom(it.second, Admission::WithinShare, now);
+            });
+        if (!hasCapacity)
             break;
         std::optional<Work> work = m_waiting.takeNext(
             [&](const Base::CustomerId &customer) { return m_shares.received(customer, now); });
         if (!work)
             break;
-        const std::optional<Choice> choice = choose(*work, now, Admission::WithinShare);
-        if (choice && choice->hasRoom) {
-            place(std::move(*work), *choice, now, decisions);
+        const std::optional<Candidate> candidate = selectServer(*work, now, Admission::WithinShare);
+        if (candidate && candidate->hasRoom) {
+            place(std::move(*work), *candidate, now, decisions);
             continue;
         }
-        if (choice)
-            choice->state->awaitedTokens += choice->unreadTokens;
-        passedOver.push_back(std::move(*work));
+        if (candidate)
+            candidate->state->queuedTokens += candidate->unreadTokens;
+        skipped.push_back(std::move(*work));
     }
-    for (Work &work : passedOver)
+    for (Work &work : skipped)
         m_waiting.push(std::move(work));
 }
 
-void Dispatcher::turnAwayLate(Base::TimePoint now, Decisions &decisions)
+void Dispatcher::resolveOverdue(Base::TimePoint now, Decisions &decisions)
 {
-    const std::vector<Work> late = m_waiting.takeIf([&](const Work &work) {
-        return now - work.arrivedAt > (work.startBy - work.arrivedAt) * waitShare;
+    const std::vector<Work> overdue = m_waiting.takeIf([&](const Work &work) {
+        return now - work.arrivedAt > (work.startBy - work.arrivedAt) * maxWaitShare;
     });
-    for (const Work &work : late) {
+    for (const Work &work : overdue) {
         // Any server is better than none, since the best one will not be free in time.
-        if (const std::optional<Choice> choice = choose(work, now, Admission::WithinShare, true)) {
-            place(work, *choice, now, decisions);
+        if (const std::optional<Candidate> candidate =
+                selectServer(work, now, Admission::WithinShare, true)) {
+            place(work, *candidate, now, decisions);
             continue;
         }
         if (work.tried.empty())
             m_shares.recordAdmitted(work.customer, -tokensOf(work), now);
-        decisions.turnedAway.push_back(turnAway(work, TurnedAwayReason::TooLate, now));
+        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::TooLate, now));
     }
 }
 
-Base::Duration Dispatcher::waitBehind(const Base::CustomerId &customer) const
+Base::Duration Dispatcher::expectedWait(const Base::CustomerId &customer) const
 {
     // Customers take turns, so the wait of a customer is the time for its own requests multiplied
     // by the number of customers that wait.
     const std::uint64_t own = m_waiting.tokensOf(customer);
-    const std::size_t others = std::max<std::size_t>(m_waiting.customers(), 1);
-    const double tokens = std::min(static_cast<double>(own) * static_cast<double>(others),
+    const std::size_t customers = std::max<std::size_t>(m_waiting.customers(), 1);
+    const double tokens = std::min(static_cast<double>(own) * static_cast<double>(customers),
                                    static_cast<double>(m_waiting.tokens()));
     return std::chrono::duration_cast<Base::Duration>(
         std::chrono::duration<double, std::milli>(tokens / drainTokensPerMs()));
@@ -509,10 +514,11 @@
 Base::Milliseconds Dispatcher::retryAfter() const
 {
     const double ms = static_cast<double>(m_waiting.tokens()) / drainTokensPerMs();
-    return std::clamp(milliseconds(static_cast<std::int64_t>(ms)), leastRetryAfter, mostRetryAfter);
+    return std::clamp(milliseconds(static_cast<std::int64_t>(ms)), minRetryAfter, maxRetryAfter);
 }
 
-TurnedAway Dispatcher::turnAway(const Work &work, TurnedAwayReason reason, Base::TimePoint now)
+TurnedAway Dispatcher::makeTurnedAway(const Work &work, TurnedAwayReason reason,
+                                      Base::TimePoint now)
 {
     return {work.id, reason, retryAfter(), m_shares.received(work.customer, now),
             m_shares.shareLevel(now)};
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -92,10 +92,10 @@
         PromptCacheModel cache;
         /// The prompt tokens of requests that wait here for this server because no other one would
         /// serve them sooner.
-        std::uint64_t awaitedTokens = 0;
+        std::uint64_t queuedTokens = 0;
         /// The time that the server needs for the transfers that this host ordered other servers to
         /// make from it and that are not complete yet.
-        double handingOutMilliseconds = 0;
+        double outgoingFetchMilliseconds = 0;
     };
     struct Placed
     {
@@ -109,7 +109,7 @@
         Base::TimePoint at;
         Base::Duration expected{};
     };
-    struct Choice
+    struct Candidate
     {
         ServerState *state = nullptr;
         double milliseconds = 0;
@@ -118,46 +118,46 @@
         std::optional<FetchPlan> fetch;
     };
     /// The state of the cached copies of one prompt's beginning.
-    struct KeptPrompt
+    struct CachedPrefix
     {
         /// The largest number of the prompt's tokens that one server has cached.
-        std::uint32_t mostTokens = 0;
+        std::uint32_t maxTokens = 0;
         /// The server that rendezvous hashing selects for a beginning that no server has cached
         /// completely. It is null if a server has.
-        const ServerState *hashed = nullptr;
+        const ServerState *rendezvousServer = nullptr;
         PrefixFetch fetch;
     };
     /// Returns the server with the lowest estimated cost, or nothing if no server qualifies. If
     /// that server has no capacity, the request should wait for it, since any other server would
     /// serve it later. With \a onlyWithRoom, only servers that have capacity count.
-    std::optional<Choice> choose(const Work &work, Base::TimePoint now, Admission admission,
-                                 bool takesAny = false);
+    std::optional<Candidate> selectServer(const Work &work, Base::TimePoint now,
+                                          Admission admission, bool onlyWithRoom = false);
     /// Estimates the cost of the request at a server that has \a cachedTokens of its prompt cached.
-    Choice choiceOf(ServerState &state, const ServerSnapshot &snapshot, const Work &work,
-                    std::uint32_t cachedTokens, const KeptPrompt &prompt,
-                    Base::TimePoint now) const;
+    Candidate evaluate(ServerState &state, const ServerSnapshot &snapshot, const Work &work,
+                       std::uint32_t cachedTokens, const CachedPrefix &prompt,
+                       Base::TimePoint now) const;
     /// Returns the servers from which others can fetch the beginning of the request's prompt.
     std::vector<PrefixSource> sourcesFor(const Work &work, const std::vector<PrefixHash> &prefixes,
                                          Base::TimePoint now) const;
     /// Removes the fetch of a request that has started or ended from the load of the fetch's
     /// source. The server has then fetched what it was to fetch.
-    void fetchOver(Placed &placed);
+    void releaseFetch(Placed &placed);
     ServerSnapshot snapshotOf(const ServerState &state, Base::TimePoint now) const;
     /// Returns the server that rendezvous hashing selects for \a beginning, or null if there are no
     /// servers.
-    const ServerState *hashedServer(std::uint64_t beginning) const;
-    void notePartUses(ServerState &state, const Work &work, Base::TimePoint now,
-                      Base::TimePoint readBy);
+    const ServerState *selectByRendezvous(std::uint64_t beginning) const;
+    void recordPartUses(ServerState &state, const Work &work, Base::TimePoint now,
+                        Base::TimePoint readBy);
     bool hasRoom(const ServerState &state, Admission admission, Base::TimePoint now) const;
     /// Returns the mean saturation of the servers that may get requests now. A server counts as 0
     /// with spare capacity, as 1 without, and as 2 if it is full for everybody.
     double saturation(Base::TimePoint now) const;
-    void place(Work work, const Choice &choice, Base::TimePoint now, Decisions &decisions);
+    void place(Work work, const Candidate &candidate, Base::TimePoint now, Decisions &decisions);
     /// Places waiting requests as far as there is capacity.
-    void drain(Base::TimePoint now, Decisions &decisions);
-    TurnedAway turnAway(const Work &work, TurnedAwayReason reason, Base::TimePoint now);
-    void turnAwayLate(Base::TimePoint now, Decisions &decisions);
-    Base::Duration waitBehind(const Base::CustomerId &customer) const;
+    void placeWaiting(Base::TimePoint now, Decisions &decisions);
+    TurnedAway makeTurnedAway(const Work &work, TurnedAwayReason reason, Base::TimePoint now);
+    void resolveOverdue(Base::TimePoint now, Decisions &decisions);
+    Base::Duration expectedWait(const Base::CustomerId &customer) const;
     double drainTokensPerMs() const;
     Base::Milliseconds retryAfter() const;
 
@@ -171,10 +171,10 @@
     std::vector<PartUse> m_partUses;
     /// The tokens of the current request's prompt that each server has cached, in the order of
     /// m_servers.
-    std::vector<std::uint32_t> m_kept;
-    Base::TimePoint m_drainedAt{};
-    Base::TimePoint m_measuredAt{};
-    Base::TimePoint m_forgotAt{};
+    std::vector<std::uint32_t> m_cachedTokens;
+    Base::TimePoint m_placedWaitingAt{};
+    Base::TimePoint m_saturationAt{};
+    Base::TimePoint m_evictedAt{};
 };
 
 } // namespace Routing
