--- a/src/libs/routing/entryselection.cpp
+++ b/src/libs/routing/entryselection.cpp
@@ -12,16 +12,16 @@
 
 /// The minimum number of listed hosts, if there are as many. The loss of one then affects at most
 /// an eighth of the callers.
-constexpr std::size_t leastEntries = 8;
+constexpr std::size_t minEntries = 8;
 /// The number of hosts of each availability zone that are listed before any stronger host of
 /// another zone.
-constexpr std::size_t leastOfZone = 2;
+constexpr std::size_t minPerZone = 2;
 /// The ratio of the capacity of the listed hosts to the load. If half of them are lost in a burst
 /// of 1.7 times the load, the remaining ones still have enough capacity.
 constexpr double headroom = 3.5;
 /// The time in which the required capacity halves when the load falls. Callers keep a list for some
 /// seconds.
-constexpr Base::Duration needHalfLife = std::chrono::seconds(8);
+constexpr Base::Duration requirementHalfLife = std::chrono::seconds(8);
 
 struct Ranked
 {
@@ -45,8 +45,8 @@
         result.push_back({std::move(host), rank});
     }
     std::stable_sort(result.begin(), result.end(), [](const Ranked &a, const Ranked &b) {
-        const bool isFirstA = a.rankInZone < leastOfZone;
-        const bool isFirstB = b.rankInZone < leastOfZone;
+        const bool isFirstA = a.rankInZone < minPerZone;
+        const bool isFirstB = b.rankInZone < minPerZone;
         if (isFirstA != isFirstB)
             return isFirstA;
         if (a.host.capacity != b.host.capacity)
@@ -65,16 +65,16 @@
         load += host.load;
     if (m_updatedAt != Base::TimePoint::min()) {
         const double halfLives = static_cast<double>((now - m_updatedAt).count())
-                                 / static_cast<double>(needHalfLife.count());
-        m_need *= std::exp2(-halfLives);
+                                 / static_cast<double>(requirementHalfLife.count());
+        m_requiredCapacity *= std::exp2(-halfLives);
     }
     m_updatedAt = now;
-    m_need = std::max(m_need, load * headroom);
+    m_requiredCapacity = std::max(m_requiredCapacity, load * headroom);
     m_chosen.clear();
     double capacity = 0;
     for (Ranked &it : ranked(std::move(hosts))) {
-        const bool isNeeded = m_chosen.size() < leastEntries || it.rankInZone < leastOfZone;
-        if (!isNeeded && capacity >= m_need)
+        const bool isGuaranteed = m_chosen.size() < minEntries || it.rankInZone < minPerZone;
+        if (!isGuaranteed && capacity >= m_requiredCapacity)
             break;
         capacity += it.host.capacity;
         m_chosen.push_back(std::move(it.host));
--- a/src/libs/routing/entryselection.h
+++ b/src/libs/routing/entryselection.h
@@ -48,7 +48,7 @@
 
 private:
     std::vector<EntryHost> m_chosen;
-    double m_need = 0;
+    double m_requiredCapacity = 0;
     Base::TimePoint m_updatedAt = Base::TimePoint::min();
 };
 
