--- a/src/libs/routing/fairwaiting.cpp
+++ b/src/libs/routing/fairwaiting.cpp
@@ -27,13 +27,13 @@
 std::optional<Work> FairWaitQueue::takeNext(const Received &received)
 {
     auto next = m_byCustomer.end();
-    double least = 0;
+    double leastAmount = 0;
     for (auto it = m_byCustomer.begin(); it != m_byCustomer.end(); ++it) {
-        const double has = received(it->first);
-        if (next != m_byCustomer.end() && has >= least)
+        const double amount = received(it->first);
+        if (next != m_byCustomer.end() && amount >= leastAmount)
             continue;
         next = it;
-        least = has;
+        leastAmount = amount;
     }
     if (next == m_byCustomer.end())
         return std::nullopt;
@@ -41,7 +41,7 @@
     next->second.erase(next->second.begin());
     if (next->second.empty())
         m_byCustomer.erase(next);
-    forget(work);
+    removeFromTotals(work);
     return work;
 }
 
@@ -50,15 +50,15 @@
     return !takeIf([id](const Work &work) { return work.id == id; }).empty();
 }
 
-std::vector<Work> FairWaitQueue::takeIf(const std::function<bool(const Work &)> &isHopeless)
+std::vector<Work> FairWaitQueue::takeIf(const std::function<bool(const Work &)> &predicate)
 {
     std::vector<Work> taken;
     for (auto it = m_byCustomer.begin(); it != m_byCustomer.end();) {
         std::vector<Work> &waiting = it->second;
-        const auto kept = std::stable_partition(
-            waiting.begin(), waiting.end(), [&](const Work &work) { return !isHopeless(work); });
+        const auto kept = std::stable_partition(waiting.begin(), waiting.end(),
+                                                [&](const Work &work) { return !predicate(work); });
         for (auto work = kept; work != waiting.end(); ++work) {
-            forget(*work);
+            removeFromTotals(*work);
             taken.push_back(std::move(*work));
         }
         waiting.erase(kept, waiting.end());
@@ -78,7 +78,7 @@
     return sum;
 }
 
-void FairWaitQueue::forget(const Work &work)
+void FairWaitQueue::removeFromTotals(const Work &work)
 {
     --m_size;
     m_tokens -= work.promptTokens;
--- a/src/libs/routing/fairwaiting.h
+++ b/src/libs/routing/fairwaiting.h
@@ -27,7 +27,7 @@
     std::optional<Work> takeNext(const Received &received);
     bool remove(WorkId id);
     /// Removes and returns all requests for which \a predicate holds.
-    std::vector<Work> takeIf(const std::function<bool(const Work &)> &isHopeless);
+    std::vector<Work> takeIf(const std::function<bool(const Work &)> &predicate);
 
     std::size_t size() const { return m_size; }
     bool isEmpty() const { return m_size == 0; }
@@ -36,7 +36,7 @@
     std::uint64_t tokens() const { return m_tokens; }
 
 private:
-    void forget(const Work &work);
+    void removeFromTotals(const Work &work);
 
     std::map<Base::CustomerId, std::vector<Work>> m_byCustomer;
     std::size_t m_size = 0;
