--- a/src/libs/routing/prefixfetch.cpp
+++ b/src/libs/routing/prefixfetch.cpp
@@ -35,7 +35,7 @@
                                            std::uint32_t cachedTokens) const
 {
     std::optional<FetchPlan> best;
-    double mostSaved = 0;
+    double maxSaved = 0;
     for (const PrefixSource &source : m_sources) {
         if (source.server == server || source.tokens <= cachedTokens)
             continue;
@@ -44,9 +44,9 @@
             m_cost->fetchMilliseconds(tokens, source.zone != zone) + source.queuedMilliseconds;
         const double saved =
             m_cost->readMilliseconds(tokens) + m_cost->rereadMilliseconds(tokens) - fetching;
-        if (saved <= mostSaved)
+        if (saved <= maxSaved)
             continue;
-        mostSaved = saved;
+        maxSaved = saved;
         best = FetchPlan{source.server, tokens, fetching};
     }
     return best;
