--- a/src/libs/routing/promptcache.cpp
+++ b/src/libs/routing/promptcache.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 /// The time for which a part counts as cached after its last use.
-constexpr Base::Duration keptFor = std::chrono::seconds(12);
+constexpr Base::Duration cacheLifetime = std::chrono::seconds(12);
 
 /// A third of the lifetime: if a report or two are lost, the other hosts still know of a part that
 /// is in use.
-constexpr Base::Duration tellInterval = std::chrono::seconds(4);
+constexpr Base::Duration reportInterval = std::chrono::seconds(4);
 
 } // namespace
 
@@ -42,14 +42,14 @@
 std::uint32_t PromptCacheModel::cachedTokens(const std::vector<PrefixHash> &prefixes,
                                              Base::TimePoint now) const
 {
-    std::uint32_t kept = 0;
+    std::uint32_t cached = 0;
     for (const PrefixHash &prefix : prefixes) {
         const auto it = m_entries.find(prefix.hash);
-        if (it == m_entries.end() || now - it->second.usedAt >= keptFor)
-            return kept;
-        kept = prefix.tokensSoFar;
+        if (it == m_entries.end() || now - it->second.usedAt >= cacheLifetime)
+            return cached;
+        cached = prefix.tokensSoFar;
     }
-    return kept;
+    return cached;
 }
 
 std::uint32_t PromptCacheModel::fetchableTokens(const std::vector<PrefixHash> &prefixes,
@@ -58,7 +58,8 @@
     std::uint32_t read = 0;
     for (const PrefixHash &prefix : prefixes) {
         const auto it = m_entries.find(prefix.hash);
-        if (it == m_entries.end() || now - it->second.usedAt >= keptFor || now < it->second.readBy)
+        if (it == m_entries.end() || now - it->second.usedAt >= cacheLifetime
+            || now < it->second.readBy)
             return read;
         read = prefix.tokensSoFar;
     }
@@ -69,7 +70,7 @@
 {
     const auto [it, isNew] = m_entries.try_emplace(hash);
     Entry &entry = it->second;
-    if (isNew || now - entry.usedAt >= keptFor)
+    if (isNew || now - entry.usedAt >= cacheLifetime)
         entry.readBy = readBy;
     entry.usedAt = now;
 }
@@ -80,16 +81,16 @@
     if (it == m_entries.end())
         return false;
     Entry &entry = it->second;
-    if (entry.toldAt != Base::TimePoint::min() && now - entry.toldAt < tellInterval)
+    if (entry.reportedAt != Base::TimePoint::min() && now - entry.reportedAt < reportInterval)
         return false;
-    entry.toldAt = now;
+    entry.reportedAt = now;
     return true;
 }
 
 void PromptCacheModel::evictExpired(Base::TimePoint now)
 {
     for (auto it = m_entries.begin(); it != m_entries.end();) {
-        if (now - it->second.usedAt < keptFor) {
+        if (now - it->second.usedAt < cacheLifetime) {
             ++it;
             continue;
         }
--- a/src/libs/routing/promptcache.h
+++ b/src/libs/routing/promptcache.h
@@ -52,7 +52,7 @@
     {
         Base::TimePoint usedAt;
         Base::TimePoint readBy;
-        Base::TimePoint toldAt = Base::TimePoint::min();
+        Base::TimePoint reportedAt = Base::TimePoint::min();
     };
 
     std::unordered_map<std::uint64_t, Entry> m_entries;
