--- a/src/libs/routing/retryshare.cpp
+++ b/src/libs/routing/retryshare.cpp
@@ -11,10 +11,10 @@
 constexpr int slicesInWindow = 20;
 /// The part of the ratio that is used. Requests count when they arrive and retries a little later,
 /// so a falling load would otherwise exceed the share.
-constexpr double ratioUsed = 0.75;
+constexpr double usedRatioShare = 0.75;
 /// The part of the slack that is used. A restarted host begins with a full share again, and a
 /// window can contain the retries of two starts.
-constexpr double slackUsed = 0.45;
+constexpr double usedSlackShare = 0.45;
 
 } // namespace
 
@@ -33,8 +33,9 @@
         repeats += it.repeats;
     }
     const double slack =
-        m_allowance.slack * slackUsed / static_cast<double>(std::max<std::size_t>(hosts, 1));
-    const double allowed = m_allowance.ratio * ratioUsed * static_cast<double>(requests) + slack;
+        m_allowance.slack * usedSlackShare / static_cast<double>(std::max<std::size_t>(hosts, 1));
+    const double allowed =
+        m_allowance.ratio * usedRatioShare * static_cast<double>(requests) + slack;
     if (static_cast<double>(repeats) + 1 > allowed)
         return false;
     ++current.repeats;
