--- a/src/libs/routing/servercost.cpp
+++ b/src/libs/routing/servercost.cpp
@@ -19,17 +19,17 @@
 constexpr double plainWorkMilliseconds = 30;
 /// The maximum of queued prompt reading at a server. One long prompt takes up to 0.3 s, and a lower
 /// limit would leave the server idle between the load reports of other hosts.
-constexpr double fullMilliseconds = 350;
+constexpr double maxQueuedReadMilliseconds = 350;
 /// The share of an engine's slots that is used. Beyond it, each additional request slows down all
 /// others.
-constexpr double slotsUsed = 0.95;
+constexpr double usedSlotShare = 0.95;
 /// A plain application gets this many times its slots. Its own queue then holds 1.5 requests for
 /// each slot, so that it is not idle while an answer is on its way.
-constexpr double plainSlotsUsed = 2.5;
+constexpr double plainSlotFactor = 2.5;
 /// The limits of spare capacity for queued reading and for running requests. Below them, a server
 /// delays nobody's requests.
-constexpr double spareMilliseconds = 90;
-constexpr double spareSlots = 0.6;
+constexpr double spareQueuedReadMilliseconds = 90;
+constexpr double spareSlotShare = 0.6;
 /// The cost of reading tokens that other servers have cached, as a multiple of the reading time.
 /// Reading them again also evicts cached tokens that others need, and delays the requests that run
 /// at the server.
@@ -61,8 +61,8 @@
     }
     const double reading = readMilliseconds(static_cast<double>(load.unreadTokens) + unreadTokens);
     const double sharing = load.running * millisecondsPerRunning;
-    const double full = std::max(0.0, load.running + 1 - slots * slotsUsed);
-    return (reading + sharing + full * plainWorkMilliseconds) * snapshot.slowness;
+    const double excess = std::max(0.0, load.running + 1 - slots * usedSlotShare);
+    return (reading + sharing + excess * plainWorkMilliseconds) * snapshot.slowness;
 }
 
 bool ServerCost::hasRoom(const ServerSnapshot &snapshot, Admission admission) const
@@ -73,11 +73,11 @@
     const ServerLoad &load = snapshot.load;
     const double slots = std::max(snapshot.slots, 1U);
     if (!m_traits.isEngine)
-        return load.running < slots * plainSlotsUsed;
-    if (load.running >= slots * (isWithinShare ? slotsUsed : spareSlots))
+        return load.running < slots * plainSlotFactor;
+    if (load.running >= slots * (isWithinShare ? usedSlotShare : spareSlotShare))
         return false;
     return readMilliseconds(load.unreadTokens) * snapshot.slowness
-           < (isWithinShare ? fullMilliseconds : spareMilliseconds);
+           < (isWithinShare ? maxQueuedReadMilliseconds : spareQueuedReadMilliseconds);
 }
 
 double ServerCost::rereadMilliseconds(std::uint32_t rereadTokens) const
@@ -89,8 +89,8 @@
 {
     if (!m_traits.moveMsPerToken)
         return std::numeric_limits<double>::infinity();
-    const double moving = *m_traits.moveMsPerToken * tokens;
-    return fetchSetupMilliseconds + moving * (isOtherZone ? otherZoneFactor : 1);
+    const double transferring = *m_traits.moveMsPerToken * tokens;
+    return fetchSetupMilliseconds + transferring * (isOtherZone ? otherZoneFactor : 1);
 }
 
 } // namespace Routing
