--- a/src/libs/routing/serverhealth.h
+++ b/src/libs/routing/serverhealth.h
@@ -30,15 +30,15 @@
     double slowness(Base::TimePoint now) const;
 
 private:
-    void leaveAlone(Base::Duration pause, Base::TimePoint now);
-    double decayed(double value, double rest, Base::TimePoint since, Base::TimePoint now) const;
+    void startCooldown(Base::Duration cooldown, Base::TimePoint now);
+    double decayed(double value, double baseline, Base::TimePoint since, Base::TimePoint now) const;
 
     double m_failures = 0;
     double m_slowness = 1;
-    Base::TimePoint m_failedAt = Base::TimePoint::min();
-    Base::TimePoint m_timedAt = Base::TimePoint::min();
+    Base::TimePoint m_failuresAt = Base::TimePoint::min();
+    Base::TimePoint m_slownessAt = Base::TimePoint::min();
     Base::TimePoint m_usableAt = Base::TimePoint::min();
-    Base::Duration m_pause{};
+    Base::Duration m_cooldown{};
 };
 
 } // namespace Routing
