--- a/src/libs/routing/serverset.cpp
+++ b/src/libs/routing/serverset.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// The span covers five reports to the other hosts, of which one or two may be lost.
-constexpr Base::Duration recentFor = std::chrono::milliseconds(1000);
+constexpr Base::Duration recentChangeSpan = std::chrono::milliseconds(1000);
 
 /// Separates a server's name from its start. Names on the platform do not contain it; a name that
 /// did would still be unambiguous, since the start is a number.
@@ -34,9 +34,9 @@
 
 ServerChanges ServerSet::apply(const std::vector<RegisteredServer> &listed, Base::TimePoint now)
 {
-    if (m_isStoreAway) {
-        m_isStoreAway = false;
-        m_storeBackAt = now;
+    if (m_isStoreUnreachable) {
+        m_isStoreUnreachable = false;
+        m_storeRegainedAt = now;
     }
     ServerChanges changes;
     std::set<Base::ServerId> present;
@@ -46,21 +46,21 @@
         supersede(server.start, changes);
         present.insert(server.id);
         if (server.isLeaving) {
-            if (m_ended.insert(server.id).second && m_servers.erase(server.id) > 0)
+            if (m_left.insert(server.id).second && m_servers.erase(server.id) > 0)
                 changes.leaving.push_back(server.id);
             continue;
         }
-        if (m_ended.count(server.id) > 0)
+        if (m_left.count(server.id) > 0)
             continue;
         const auto [it, isNew] = m_servers.insert_or_assign(server.id, server);
         if (isNew)
             changes.found.push_back(server.id);
     }
     m_isKnown = true;
-    if (!keepsMissing(now) && isLapse(present, now))
-        m_storeBackAt = now;
-    if (keepsMissing(now)) {
-        note(changes, now);
+    if (!isInGracePeriod(now) && isMassExpiry(present, now))
+        m_storeRegainedAt = now;
+    if (isInGracePeriod(now)) {
+        recordChanges(changes, now);
         return changes;
     }
     for (auto it = m_servers.begin(); it != m_servers.end();) {
@@ -72,7 +72,7 @@
         changes.gone.push_back(it->first);
         it = m_servers.erase(it);
     }
-    note(changes, now);
+    recordChanges(changes, now);
     return changes;
 }
 
@@ -88,10 +88,10 @@
         // The other host may not have noticed the outage in which the entry expired. An outage that
         // lasts longer than the grace period concerns this host alone, since the other host reads
         // the store.
-        const bool isNewlyAway = m_isStoreAway && now - m_storeAwayAt < m_returnGrace;
-        if (change.kind == ServerChange::Kind::Gone && (keepsMissing(now) || isNewlyAway))
+        const bool isNewlyUnreachable = m_isStoreUnreachable && now - m_storeLostAt < m_gracePeriod;
+        if (change.kind == ServerChange::Kind::Gone && (isInGracePeriod(now) || isNewlyUnreachable))
             continue;
-        if (!applyOne(change))
+        if (!applyChange(change))
             continue;
         switch (change.kind) {
         case ServerChange::Kind::Found:
@@ -105,18 +105,18 @@
             break;
         }
     }
-    note(applied, now);
+    recordChanges(applied, now);
     return applied;
 }
 
-bool ServerSet::applyOne(const ServerChange &change)
+bool ServerSet::applyChange(const ServerChange &change)
 {
     const Base::ServerId &id = change.server.id;
     switch (change.kind) {
     case ServerChange::Kind::Found:
-        return m_ended.count(id) == 0 && m_servers.insert_or_assign(id, change.server).second;
+        return m_left.count(id) == 0 && m_servers.insert_or_assign(id, change.server).second;
     case ServerChange::Kind::Leaving:
-        return m_ended.insert(id).second && m_servers.erase(id) > 0;
+        return m_left.insert(id).second && m_servers.erase(id) > 0;
     case ServerChange::Kind::Gone:
         return m_servers.erase(id) > 0;
     }
@@ -134,15 +134,15 @@
     const auto [latest, isNew] = m_latestStarts.try_emplace(start.name, start.at);
     if (latest->second == start.at)
         return;
-    const Base::ServerId before = idOf({start.name, latest->second});
+    const Base::ServerId previous = idOf({start.name, latest->second});
     latest->second = start.at;
-    if (m_servers.erase(before) > 0)
-        changes.gone.push_back(before);
+    if (m_servers.erase(previous) > 0)
+        changes.gone.push_back(previous);
 }
 
-void ServerSet::note(const ServerChanges &changes, Base::TimePoint now)
+void ServerSet::recordChanges(const ServerChanges &changes, Base::TimePoint now)
 {
-    while (!m_recent.empty() && now - m_recent.front().at >= recentFor)
+    while (!m_recent.empty() && now - m_recent.front().at >= recentChangeSpan)
         m_recent.pop_front();
     for (const Base::ServerId &id : changes.leaving)
         m_recent.push_back({{ServerChange::Kind::Leaving, serverOf(id)}, now});
@@ -157,8 +157,8 @@
 std::vector<ServerChange> ServerSet::recentChanges(Base::TimePoint now) const
 {
     std::vector<ServerChange> changes;
-    for (const Dated &it : m_recent) {
-        if (now - it.at < recentFor)
+    for (const TimedChange &it : m_recent) {
+        if (now - it.at < recentChangeSpan)
             changes.push_back(it.change);
     }
     return changes;
@@ -166,18 +166,18 @@
 
 void ServerSet::storeFailed(Base::TimePoint now)
 {
-    if (!std::exchange(m_isStoreAway, true))
-        m_storeAwayAt = now;
+    if (!std::exchange(m_isStoreUnreachable, true))
+        m_storeLostAt = now;
 }
 
 void ServerSet::outageReported(Base::TimePoint lostAt)
 {
-    m_otherOutageAt = std::max(m_otherOutageAt, lostAt);
+    m_peerOutageAt = std::max(m_peerOutageAt, lostAt);
 }
 
 std::optional<Base::TimePoint> ServerSet::storeAwayAt() const
 {
-    return m_isStoreAway ? std::optional(m_storeAwayAt) : std::nullopt;
+    return m_isStoreUnreachable ? std::optional(m_storeLostAt) : std::nullopt;
 }
 
 const RegisteredServer *ServerSet::usable(const Base::ServerId &id) const
@@ -194,13 +194,13 @@
     return hash;
 }
 
-bool ServerSet::isLapse(const std::set<Base::ServerId> &present, Base::TimePoint now) const
+bool ServerSet::isMassExpiry(const std::set<Base::ServerId> &present, Base::TimePoint now) const
 {
     // In a longer outage, this host would notice a part of it itself, or the other host is cut off
     // from the store.
-    const bool isOutageNear =
-        m_otherOutageAt != Base::TimePoint::min() && now - m_otherOutageAt < m_returnGrace;
-    if (!isOutageNear)
+    const bool isOutageRecent =
+        m_peerOutageAt != Base::TimePoint::min() && now - m_peerOutageAt < m_gracePeriod;
+    if (!isOutageRecent)
         return false;
     const auto missing = std::count_if(m_servers.begin(), m_servers.end(), [&](const auto &it) {
         return present.count(it.first) == 0;
@@ -210,9 +210,9 @@
     return 2 * static_cast<std::size_t>(missing) > m_servers.size();
 }
 
-bool ServerSet::keepsMissing(Base::TimePoint now) const
+bool ServerSet::isInGracePeriod(Base::TimePoint now) const
 {
-    return m_storeBackAt != Base::TimePoint::min() && now - m_storeBackAt < m_returnGrace;
+    return m_storeRegainedAt != Base::TimePoint::min() && now - m_storeRegainedAt < m_gracePeriod;
 }
 
 } // namespace Routing
--- a/src/libs/routing/serverset.h
+++ b/src/libs/routing/serverset.h
@@ -89,8 +89,8 @@
 class ServerSet
 {
 public:
-    explicit ServerSet(Base::Duration returnGrace)
-        : m_returnGrace(returnGrace)
+    explicit ServerSet(Base::Duration gracePeriod)
+        : m_gracePeriod(gracePeriod)
     {}
 
     /// Applies a complete list of entries that the store returned. Lists must be applied in the
@@ -109,7 +109,10 @@
     bool isKnown() const { return m_isKnown; }
     /// Returns whether a missing entry means that the server is gone: the store is reachable from
     /// here and did not just become reachable again. Otherwise another host's set is more reliable.
-    bool isSettled(Base::TimePoint now) const { return !m_isStoreAway && !keepsMissing(now); }
+    bool isSettled(Base::TimePoint now) const
+    {
+        return !m_isStoreUnreachable && !isInGracePeriod(now);
+    }
     /// Returns the time since which the store does not answer this host, or nothing while it does.
     std::optional<Base::TimePoint> storeAwayAt() const;
     /// Returns a hash that is the same for two sets with the same usable servers.
@@ -119,36 +122,36 @@
     const std::map<Base::ServerId, RegisteredServer> &servers() const { return m_servers; }
 
 private:
-    struct Dated
+    struct TimedChange
     {
         ServerChange change;
         Base::TimePoint at;
     };
 
     /// Returns false if \a change has no effect.
-    bool applyOne(const ServerChange &change);
+    bool applyChange(const ServerChange &change);
     /// Returns whether a later start of the same server is known.
     bool isOutdated(const ServerStart &start) const;
     /// Records the start if it is the latest one of its server, and removes the previous one.
     void supersede(const ServerStart &start, ServerChanges &changes);
-    void note(const ServerChanges &changes, Base::TimePoint now);
-    bool keepsMissing(Base::TimePoint now) const;
+    void recordChanges(const ServerChanges &changes, Base::TimePoint now);
+    bool isInGracePeriod(Base::TimePoint now) const;
     /// Returns whether \a present lacks so many servers that their entries must have expired in an
     /// outage that another host noticed.
-    bool isLapse(const std::set<Base::ServerId> &present, Base::TimePoint now) const;
+    bool isMassExpiry(const std::set<Base::ServerId> &present, Base::TimePoint now) const;
 
-    Base::Duration m_returnGrace;
+    Base::Duration m_gracePeriod;
     std::map<Base::ServerId, RegisteredServer> m_servers;
     /// The ids of all servers that were ever seen leaving.
-    std::set<Base::ServerId> m_ended;
+    std::set<Base::ServerId> m_left;
     /// The latest start that was ever seen of each server, by the server's name.
     std::map<std::string, Base::Milliseconds> m_latestStarts;
     bool m_isKnown = false;
-    bool m_isStoreAway = false;
-    Base::TimePoint m_storeAwayAt{};
-    Base::TimePoint m_storeBackAt = Base::TimePoint::min();
-    Base::TimePoint m_otherOutageAt = Base::TimePoint::min();
-    std::deque<Dated> m_recent;
+    bool m_isStoreUnreachable = false;
+    Base::TimePoint m_storeLostAt{};
+    Base::TimePoint m_storeRegainedAt = Base::TimePoint::min();
+    Base::TimePoint m_peerOutageAt = Base::TimePoint::min();
+    std::deque<TimedChange> m_recent;
 };
 
 } // namespace Routing
