--- a/tests/auto/routing/fairnessjudge.cpp
+++ b/tests/auto/routing/fairnessjudge.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t windowSeconds = 6;
-constexpr double leftOut = 3;
+constexpr double toleratedRequests = 3;
 
 } // namespace
 
@@ -51,19 +51,19 @@
     }
     for (std::size_t c = 0; c < m_seconds.size(); ++c) {
         for (std::size_t from = 0; from + windowSeconds <= seconds; ++from) {
-            UnderservedPeriod it{c, from, 0, 0, 0};
-            double owed = 0;
+            UnderservedPeriod period{c, from, 0, 0, 0};
+            double due = 0;
             bool wasDelayed = true;
             for (std::size_t s = from; s < from + windowSeconds; ++s) {
                 const Second &second = m_seconds[c][s];
                 wasDelayed = wasDelayed && second.wasDelayed;
-                owed += std::min(second.asked, best[s]);
-                it.asked += second.asked;
-                it.received += second.received;
-                it.bestReceived += best[s];
+                due += std::min(second.asked, best[s]);
+                period.asked += second.asked;
+                period.received += second.received;
+                period.bestReceived += best[s];
             }
-            if (wasDelayed && it.received < owed / 2 - leftOut * m_largest[c])
-                return it;
+            if (wasDelayed && period.received < due / 2 - toleratedRequests * m_largest[c])
+                return period;
         }
     }
     return std::nullopt;
@@ -85,10 +85,10 @@
     return sum;
 }
 
-std::string describe(const UnderservedPeriod &it)
+std::string describe(const UnderservedPeriod &period)
 {
     std::ostringstream text;
-    text << "customer " << it.customer << " from second " << it.fromSecond << " asked for "
-         << it.asked << ", got " << it.received << " beside " << it.bestReceived;
+    text << "customer " << period.customer << " from second " << period.fromSecond << " asked for "
+         << period.asked << ", got " << period.received << " beside " << period.bestReceived;
     return text.str();
 }
--- a/tests/auto/routing/fairnessjudge.h
+++ b/tests/auto/routing/fairnessjudge.h
@@ -55,4 +55,4 @@
     std::vector<double> m_largest;
 };
 
-std::string describe(const UnderservedPeriod &it);
+std::string describe(const UnderservedPeriod &period);
