--- a/tests/auto/routing/fleetmodel.cpp
+++ b/tests/auto/routing/fleetmodel.cpp
@@ -14,7 +14,7 @@
 /// The delay of a host's report to a leader plus that of the leader's sums.
 constexpr Base::Duration reportDelay = milliseconds(250);
 /// A caller disconnects if its request is not read within this time.
-constexpr Base::Duration mostUnread = std::chrono::seconds(1);
+constexpr Base::Duration callerTimeout = std::chrono::seconds(1);
 constexpr Base::Duration target = std::chrono::seconds(1);
 constexpr Base::Duration eventInterval = milliseconds(60);
 constexpr double tokensPerMs = 40;
@@ -66,9 +66,9 @@
         servers[i].slots = 64;
         m_freeAt[servers[i].id] = m_now;
     }
-    const double told =
-        static_cast<double>(scenario.engines) * tokensPerMs * 1000 * scenario.toldPart;
-    const Routing::ServiceTraits traits{true, 500000, tokensPerMs, told};
+    const double configured =
+        static_cast<double>(scenario.engines) * tokensPerMs * 1000 * scenario.configuredShare;
+    const Routing::ServiceTraits traits{true, 500000, tokensPerMs, configured};
     for (Host &host : m_hosts) {
         host.dispatcher = std::make_unique<Routing::Dispatcher>(traits, Base::ZoneId("z"));
         host.dispatcher->setServers(servers);
@@ -194,7 +194,7 @@
     Host &it = m_hosts[host];
     const Request request = m_requests.at(id);
     const CustomerLoad &load = m_scenario.customers[request.customer];
-    if (m_now - request.readyAt > mostUnread) {
+    if (m_now - request.readyAt > callerTimeout) {
         refused(id, Base::Duration::zero());
         return 0;
     }
@@ -277,16 +277,16 @@
             if (&from != &host)
                 add(others, from.reported);
         }
-        host.coming.emplace_back(m_now + reportDelay, std::move(others));
+        host.incoming.emplace_back(m_now + reportDelay, std::move(others));
     }
 }
 
 void FleetModel::deliver()
 {
     for (Host &host : m_hosts) {
-        while (!host.coming.empty() && host.coming.front().first <= m_now) {
-            host.others = std::move(host.coming.front().second);
-            host.coming.pop_front();
+        while (!host.incoming.empty() && host.incoming.front().first <= m_now) {
+            host.others = std::move(host.incoming.front().second);
+            host.incoming.pop_front();
             host.dispatcher->othersChanged();
         }
     }
--- a/tests/auto/routing/fleetmodel.h
+++ b/tests/auto/routing/fleetmodel.h
@@ -43,7 +43,7 @@
     double processorShare = 0.12;
     double slowness = 1;
     /// The throughput in the configuration, as a share of what the engines can do.
-    double toldPart = 0.6;
+    double configuredShare = 0.6;
     /// The share of the reports that are lost.
     double reportLoss = 0.02;
     Base::Duration length = std::chrono::seconds(16);
@@ -86,7 +86,7 @@
         double budgetMs = 0;
         Routing::HostLoad reported;
         /// The summed reports that are on their way, with their time of arrival.
-        std::deque<std::pair<Base::TimePoint, Routing::OthersLoad>> coming;
+        std::deque<std::pair<Base::TimePoint, Routing::OthersLoad>> incoming;
     };
 
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
