--- a/tests/auto/routing/tst_backlogwatch.cpp
+++ b/tests/auto/routing/tst_backlogwatch.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// The result of ten seconds of load on a small host.
-struct Outcome
+struct Result
 {
     Base::Duration longestWait{};
     double servedTokens = 0;
@@ -42,14 +42,14 @@
 /// prompts and twenty events, the others short prompts and thirty events. A request costs 125 us,
 /// an event 40 us, a refusal 80 us. Connections that would wait for longer than \a
 /// maxConnectionWait are not accepted.
-Outcome simulate(int streamsPerSecond, bool chooses,
-                 Base::Duration callersWait = Base::Duration::max())
+Result simulate(int streamsPerSecond, bool isSelective,
+                Base::Duration maxConnectionWait = Base::Duration::max())
 {
     const Base::TimePoint firstSecondOver{seconds(101)};
     Base::TimePoint now{seconds(100)};
     BacklogWatch admission(120);
     admission.noteIdle(now);
-    Outcome outcome;
+    Result result;
     double backlog = 0;
     double due = 0;
     bool isLong = false;
@@ -58,10 +58,10 @@
         due += streamsPerSecond / 1000.0;
         for (; due >= 1; due -= 1) {
             isLong = !isLong;
-            if (waitFor(backlog) > callersWait)
+            if (waitFor(backlog) > maxConnectionWait)
                 continue;
             const Work work = isLong ? stream(17000, 480) : stream(1460, 700);
-            if (chooses && !admission.takesStream(work, now)) {
+            if (isSelective && !admission.takesStream(work, now)) {
                 backlog += 0.08;
                 continue;
             }
@@ -69,17 +69,17 @@
             backlog += cost;
             admission.noteEvents(isLong ? 20 : 30);
             if (now >= firstSecondOver)
-                outcome.promisedMilliseconds += cost;
-            outcome.servedTokens += work.promptTokens;
+                result.promisedMilliseconds += cost;
+            result.servedTokens += work.promptTokens;
         }
         backlog -= processorShare;
         if (backlog <= 0) {
             backlog = 0;
             admission.noteIdle(now);
         }
-        outcome.longestWait = std::max(outcome.longestWait, waitFor(backlog));
+        result.longestWait = std::max(result.longestWait, waitFor(backlog));
     }
-    return outcome;
+    return result;
 }
 
 /// The processor time of the streams of two customers that were admitted after the first two
@@ -150,10 +150,10 @@
     // Guards against a host that spends its processor on the many events of small streams. A stream
     // costs 1,300 us, of which a long prompt uses 925, and the host's customer would get a tenth of
     // what others get.
-    const Outcome outcome = simulate(330, true);
+    const Result result = simulate(330, true);
     // If it admitted all streams, a host that keeps up would serve 106 streams of 9,230 tokens per
     // second.
-    CHECK(outcome.servedTokens > 1.3 * 10 * 106 * 9230);
+    CHECK(result.servedTokens > 1.3 * 10 * 106 * 9230);
 }
 
 TEST_CASE("a host whose refusals alone use its whole processor still serves its customer",
@@ -163,18 +163,18 @@
     // send 2,400 requests per second, while seven other hosts are idle. Refusing them uses the
     // whole processor, so the host is never idle. Guards against such a host refusing all streams
     // as long as the load lasts, although the pool has capacity.
-    const Outcome outcome = simulate(2400, true, seconds(1));
+    const Result result = simulate(2400, true, seconds(1));
     // Another customer got 450,000 tokens per second. Half of that is fair, and the bound adds half
     // as much again.
-    CHECK(outcome.servedTokens > 1.5 * 10 * 450000 / 2);
+    CHECK(result.servedTokens > 1.5 * 10 * 450000 / 2);
     // The admitted streams need no more than half of the host's processor.
-    CHECK(outcome.promisedMilliseconds < 0.55 * 9000 * processorShare);
+    CHECK(result.promisedMilliseconds < 0.55 * 9000 * processorShare);
 }
 
 TEST_CASE("a host that keeps up refuses nothing", "[routing]")
 {
-    const Outcome all = simulate(90, false);
-    const Outcome chosen = simulate(90, true);
+    const Result all = simulate(90, false);
+    const Result chosen = simulate(90, true);
     CHECK(all.servedTokens == chosen.servedTokens);
     CHECK(all.longestWait == chosen.longestWait);
 }
