--- a/tests/auto/routing/tst_costobserver.cpp
+++ b/tests/auto/routing/tst_costobserver.cpp
@@ -18,10 +18,10 @@
 /// Simulates a host that is never idle for \a time. In each millisecond it does work with the
 /// estimated cost \a expected.
 void keepBusy(CostObserver &observer, Base::TimePoint from, Base::Duration time,
-              Base::Duration reckoned)
+              Base::Duration expected)
 {
     for (Base::TimePoint now = from; now < from + time; now += milliseconds(1)) {
-        observer.addWork(reckoned);
+        observer.addWork(expected);
         observer.advance(now);
     }
 }
@@ -37,7 +37,7 @@
 /// Returns the share of the processor that a host promises to streams, over four seconds, after it
 /// has been behind for one. All work takes \a slowness times as long as estimated. So many streams
 /// arrive that refusing them uses more than the other half of the processor.
-double promisedPart(double slowness)
+double promisedShare(double slowness)
 {
     BacklogWatch admission(capacity);
     Base::TimePoint now = start;
@@ -136,8 +136,8 @@
     // Guards against a slow host that promises too much. Where work takes four times as long as
     // estimated, half of the processor as estimated would be twice the whole processor, and all
     // streams would be late.
-    CHECK(promisedPart(1) < 0.65);
-    CHECK(promisedPart(4) < 0.7);
+    CHECK(promisedShare(1) < 0.65);
+    CHECK(promisedShare(4) < 0.7);
 }
 
 TEST_CASE("the load that a slow host reports is the actual cost of its work", "[routing]")
