--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -156,7 +156,10 @@
     /// Places waiting requests as far as there is capacity.
     void placeWaiting(Base::TimePoint now, Decisions &decisions);
     TurnedAway makeTurnedAway(const Work &work, TurnedAwayReason reason, Base::TimePoint now);
+    /// Places each request that has waited too long on any server with capacity, or turns it away
+    /// if there is none.
     void resolveOverdue(Base::TimePoint now, Decisions &decisions);
+    /// Returns the estimated time that a new request of \a customer waits behind the waiting ones.
     Base::Duration expectedWait(const Base::CustomerId &customer) const;
     double drainTokensPerMs() const;
     Base::Milliseconds retryAfter() const;
