--- a/src/libs/routing/prefixfetch.h
+++ b/src/libs/routing/prefixfetch.h
@@ -34,10 +34,11 @@
 /// worth it.
 ///
 /// A few beginnings make up most of the load, so the servers that have one cached are busy while
-/// others are idle and read it again; this was up to a sixth of all tokens read. A fetch costs a
-/// round trip and the transfer of the KV cache over the servers' links. The configuration gives
-/// both, so nothing is assumed about a deployment: where links are slow or the KV cache is large,
-/// servers read the beginning instead.
+/// others are idle and read it again. Without fetches this is up to a sixth of all tokens read. A
+/// fetch costs a round trip and the transfer of the KV cache over the servers' links. The
+/// configuration gives the size of the KV cache and the bandwidth of the links, so nothing is
+/// assumed about a deployment: where links are slow or the KV cache is large, servers read the
+/// beginning instead.
 class PrefixFetch
 {
 public:
--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -265,8 +265,8 @@
 TEST_CASE("a beginning whose source is busy is fetched and not read again", "[routing]")
 {
     // Guards against engines that read again what another engine has cached whenever that one is
-    // busy. This was a sixth of all tokens read, and it delayed the tokens of the requests that ran
-    // there.
+    // busy. Without fetches these are a sixth of all tokens read, and reading them delays the
+    // tokens of the requests that run there.
     ServiceTraits traits{true, 500000, 40, 0};
     const auto fetchedOf = [&traits](Base::Duration readFor) {
         Dispatcher dispatcher(traits, Base::ZoneId("near"));
