--- a/src/libs/routing/promptcache.h
+++ b/src/libs/routing/promptcache.h
@@ -17,6 +17,7 @@
     /// The number of tokens from the start of the prompt to the end of this prefix.
     std::uint32_t tokensSoFar = 0;
 };
+/// Returns the hashes of all prefixes of a prompt, from the shortest to the longest.
 std::vector<PrefixHash> prefixHashes(const std::vector<PromptPart> &parts);
 /// Returns the prefixes that other requests may share. These are all but the longest, whose last
 /// part belongs to the request alone.
@@ -37,8 +38,8 @@
     /// them.
     std::uint32_t fetchableTokens(const std::vector<PrefixHash> &prefixes,
                                   Base::TimePoint now) const;
-    /// Records that a prompt with the prefix was sent to the server, which will have read it by \a
-    /// readBy.
+    /// Records that a prompt with the prefix was sent to the server, which will have read it by
+    /// \a readBy.
     void recordUse(std::uint64_t hash, Base::TimePoint now, Base::TimePoint readBy);
     /// Returns whether a use should be reported to the other hosts, because they do not know of the
     /// prefix or will soon consider it evicted. The use then counts as reported, so the next call
