--- a/src/libs/routing/servercost.h
+++ b/src/libs/routing/servercost.h
@@ -47,8 +47,8 @@
     void setTraits(const ServiceTraits &traits);
     const ServiceTraits &traits() const { return m_traits; }
 
-    /// Returns the estimated time in milliseconds from sending a request to its first event. \a
-    /// unreadTokens is the number of its prompt tokens that the server has not cached.
+    /// Returns the estimated time in milliseconds from sending a request to its first event.
+    /// \a unreadTokens is the number of its prompt tokens that the server has not cached.
     double startMilliseconds(const ServerSnapshot &snapshot, std::uint32_t unreadTokens) const;
     bool hasRoom(const ServerSnapshot &snapshot, Admission admission) const;
     /// Returns the time in milliseconds that the server takes to read \a tokens.
--- a/src/libs/routing/work.h
+++ b/src/libs/routing/work.h
@@ -66,8 +66,8 @@
     WorkId work = 0;
     Base::ServerId server;
     PlacementInputs inputs;
-    /// The server from which \a server is to fetch the beginning of the prompt. It is empty if \a
-    /// server reads the whole prompt itself.
+    /// The server from which \a server is to fetch the beginning of the prompt. It is empty if
+    /// \a server reads the whole prompt itself.
     Base::ServerId fetchFrom;
 };
 
--- a/tests/auto/routing/tst_backlogwatch.cpp
+++ b/tests/auto/routing/tst_backlogwatch.cpp
@@ -39,9 +39,9 @@
 }
 
 /// Simulates a host of 0.12 cores that gets \a streamsPerSecond streams. Half of them have long
-/// prompts and twenty events, the others short prompts and thirty events. A request costs 125 us,
-/// an event 40 us, a refusal 80 us. Connections that would wait for longer than \a
-/// maxConnectionWait are not accepted.
+/// prompts and twenty events, the others short prompts and thirty events. A request costs 125
+/// us, an event 40 us, a refusal 80 us. Connections that would wait for longer than
+/// \a maxConnectionWait are not accepted.
 Result simulate(int streamsPerSecond, bool isSelective,
                 Base::Duration maxConnectionWait = Base::Duration::max())
 {
--- a/tests/auto/routing/tst_entryselection.cpp
+++ b/tests/auto/routing/tst_entryselection.cpp
@@ -21,8 +21,8 @@
     return {Base::HostId(name), Base::ZoneId(zone), name + ":8000", capacity, load};
 }
 
-/// Returns four zones with two strong hosts and \a weak weak hosts each. Together they forward \a
-/// load.
+/// Returns four zones with two strong hosts and \a weak weak hosts each. Together they forward
+/// \a load.
 std::vector<EntryHost> mixedFleet(int weak, MilliCores load)
 {
     std::vector<EntryHost> hosts;
