--- a/src/libs/routing/costobserver.h
+++ b/src/libs/routing/costobserver.h
@@ -20,7 +20,7 @@
     {}
 
     /// Records that no work was left at \a now.
-    void noteIdle(Base::TimePoint now);
+    void recordIdle(Base::TimePoint now);
     /// Records that work with the estimated cost \a cost was done.
     void addWork(Base::Duration cost) { m_expected += cost; }
     /// Updates the elapsed time. It should be called with each request.
--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -90,17 +90,17 @@
         next[server.id].server = server;
     }
     m_servers = std::move(next);
-    othersChanged();
+    peerLoadChanged();
 }
 
-void Dispatcher::setOthers(const OthersLoad &peerLoad)
+void Dispatcher::setPeerLoad(const PeerLoad &peerLoad)
 {
     m_peerLoad = &peerLoad;
-    m_shares.setOthers(peerLoad);
-    othersChanged();
+    m_shares.setPeerLoad(peerLoad);
+    peerLoadChanged();
 }
 
-void Dispatcher::othersChanged()
+void Dispatcher::peerLoadChanged()
 {
     if (!m_peerLoad)
         return;
@@ -168,7 +168,7 @@
     return decisions;
 }
 
-void Dispatcher::turnedAwayBefore(const Work &work, Base::TimePoint now)
+void Dispatcher::recordTurnedAway(const Work &work, Base::TimePoint now)
 {
     m_shares.recordDemand(work.customer, tokensOf(work), now);
 }
@@ -253,7 +253,7 @@
     m_partUses.clear();
 }
 
-void Dispatcher::learnPartUses(const std::vector<PartUse> &uses, Base::TimePoint now)
+void Dispatcher::applyPartUses(const std::vector<PartUse> &uses, Base::TimePoint now)
 {
     for (const PartUse &use : uses) {
         const auto server = m_servers.find(use.server);
@@ -328,7 +328,7 @@
                                                  Base::TimePoint now) const
 {
     std::vector<PrefixSource> sources;
-    if (prefixes.empty() || !m_cost.traits().moveMsPerToken)
+    if (prefixes.empty() || !m_cost.traits().transferMsPerToken)
         return sources;
     for (const auto &[id, state] : m_servers) {
         // A fetch from a server that failed this request, or other requests recently, would hang or
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -3,10 +3,10 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "routing/customershares.h"
-#include "routing/fairwaiting.h"
+#include "routing/fairwaitqueue.h"
 #include "routing/fleetload.h"
 #include "routing/prefixfetch.h"
-#include "routing/promptcache.h"
+#include "routing/promptcachemodel.h"
 #include "routing/servercost.h"
 #include "routing/serverhealth.h"
 #include "routing/serverset.h"
@@ -51,14 +51,14 @@
     void setServers(const std::vector<RegisteredServer> &servers);
     /// Sets the load of the other hosts. \a peerLoad must outlive the dispatcher and may change;
     /// peerLoadChanged() must be called after each change.
-    void setOthers(const OthersLoad &peerLoad);
-    void othersChanged();
+    void setPeerLoad(const PeerLoad &peerLoad);
+    void peerLoadChanged();
 
     /// Handles a request that arrives, or that returns after a failed attempt.
     Decisions submit(Work work, Base::TimePoint now);
     /// Records a request that this host turned away before it reached the dispatcher. It counts as
     /// demand: otherwise the fleet would assume that its customer gets all that it asks for.
-    void turnedAwayBefore(const Work &work, Base::TimePoint now);
+    void recordTurnedAway(const Work &work, Base::TimePoint now);
     /// Removes a waiting request that is no longer wanted.
     void withdraw(WorkId id);
     /// Records that the first event of a placed request came.
@@ -74,7 +74,7 @@
     /// Adds this host's load to \a load.
     void report(HostLoad &load, Base::TimePoint now);
     /// Applies the part uses that another host reported.
-    void learnPartUses(const std::vector<PartUse> &uses, Base::TimePoint now);
+    void applyPartUses(const std::vector<PartUse> &uses, Base::TimePoint now);
     std::size_t waiting() const { return m_waiting.size(); }
     /// The levels of CustomerShares, for the log.
     double shareLevel(Base::TimePoint now) { return m_shares.shareLevel(now); }
@@ -167,7 +167,7 @@
     ServerCost m_cost;
     CustomerShares m_shares;
     Base::ZoneId m_ownZone;
-    const OthersLoad *m_peerLoad = nullptr;
+    const PeerLoad *m_peerLoad = nullptr;
     std::map<Base::ServerId, ServerState> m_servers;
     std::unordered_map<WorkId, Placed> m_placed;
     FairWaitQueue m_waiting;
--- a/src/libs/routing/retrypause.h
+++ b/src/libs/routing/exponentialbackoff.h
@@ -8,10 +8,10 @@
 
 /// Provides the pauses between attempts that fail one after the other. Each pause is twice as long
 /// as the previous one, up to a maximum.
-class RetryPause
+class ExponentialBackoff
 {
 public:
-    RetryPause(Base::Duration first, Base::Duration longest)
+    ExponentialBackoff(Base::Duration first, Base::Duration longest)
         : m_first(first)
         , m_longest(longest)
     {}
--- a/src/libs/routing/fleetload.h
+++ b/src/libs/routing/fleetload.h
@@ -52,7 +52,7 @@
 };
 
 /// The sum of the load reports of all other hosts.
-struct OthersLoad
+struct PeerLoad
 {
     std::map<Base::ServerId, ServerLoad> servers;
     std::map<Base::CustomerId, double> asked;
--- a/src/libs/routing/servercost.h
+++ b/src/libs/routing/servercost.h
@@ -21,7 +21,7 @@
     double sharedTokensPerSecond = 0;
     /// The time in milliseconds to transfer the KV cache of one token from one server to another.
     /// It is empty if servers cannot fetch from each other.
-    std::optional<double> moveMsPerToken{};
+    std::optional<double> transferMsPerToken{};
 };
 
 /// The state of a server at the moment of a decision.
--- a/src/libs/routing/serverset.cpp
+++ b/src/libs/routing/serverset.cpp
@@ -175,7 +175,7 @@
     m_peerOutageAt = std::max(m_peerOutageAt, lostAt);
 }
 
-std::optional<Base::TimePoint> ServerSet::storeAwayAt() const
+std::optional<Base::TimePoint> ServerSet::storeUnreachableSince() const
 {
     return m_isStoreUnreachable ? std::optional(m_storeLostAt) : std::nullopt;
 }
--- a/src/libs/routing/serverset.h
+++ b/src/libs/routing/serverset.h
@@ -109,12 +109,12 @@
     bool isKnown() const { return m_isKnown; }
     /// Returns whether a missing entry means that the server is gone: the store is reachable from
     /// here and did not just become reachable again. Otherwise another host's set is more reliable.
-    bool isSettled(Base::TimePoint now) const
+    bool isAuthoritative(Base::TimePoint now) const
     {
         return !m_isStoreUnreachable && !isInGracePeriod(now);
     }
     /// Returns the time since which the store does not answer this host, or nothing while it does.
-    std::optional<Base::TimePoint> storeAwayAt() const;
+    std::optional<Base::TimePoint> storeUnreachableSince() const;
     /// Returns a hash that is the same for two sets with the same usable servers.
     std::uint64_t fingerprint() const;
     /// Returns the server with \a id, or null if it is leaving, gone or unknown.
--- a/src/libs/routing/backlogwatch.h
+++ b/src/libs/routing/streamadmission.h
@@ -2,8 +2,8 @@
 
 #include "base/time.h"
 #include "routing/costobserver.h"
+#include "routing/decayingsum.h"
 #include "routing/entryselection.h"
-#include "routing/fadingmeter.h"
 #include "routing/work.h"
 
 #include <cstddef>
@@ -30,32 +30,32 @@
 /// refusals alone use the whole processor, the backlog never ends, and a customer whose callers all
 /// stay with this host would get nothing as long as the load lasts. Plain requests are always
 /// admitted, since they cost no more than their refusal.
-class BacklogWatch
+class StreamAdmission
 {
 public:
     /// \a capacity is the part of the host's processor that this process may use.
-    explicit BacklogWatch(MilliCores capacity)
+    explicit StreamAdmission(MilliCores capacity)
         : m_capacity(capacity)
         , m_cost(capacity)
     {}
 
     /// Records that no work was left at \a now.
-    void noteIdle(Base::TimePoint now);
+    void recordIdle(Base::TimePoint now);
     /// Records that events of streams were forwarded.
-    void noteEvents(std::size_t count);
+    void recordEvents(std::size_t count);
     /// Records work outside of streams: a plain request, or a request that was refused elsewhere.
-    void noteRequest(Base::TimePoint now);
-    void noteRefusal(Base::TimePoint now);
+    void recordPlainRequest(Base::TimePoint now);
+    void recordRefusal(Base::TimePoint now);
     /// Returns the ratio of the actual to the estimated cost of this host's work.
     double costFactor() const { return m_cost.factor(); }
     /// Returns whether the host has not been idle recently: it is not behind yet, but has no
     /// capacity to spare.
     bool isBusy(Base::TimePoint now) const { return now - m_idleAt >= busyAfter; }
     /// Decides whether to admit a new stream, and records the decision.
-    bool takesStream(const Work &work, Base::TimePoint now);
+    bool admitStream(const Work &work, Base::TimePoint now);
     /// Cancels the admission of a stream that is not sent anywhere for another reason. The stream
     /// then costs no more than a refusal.
-    void giveBack(const Work &work, Base::TimePoint now);
+    void refundStream(const Work &work, Base::TimePoint now);
 
 private:
     /// An event must be forwarded within 120 ms for the strictest callers. A host that keeps up
--- a/tests/auto/routing/fleetmodel.h
+++ b/tests/auto/routing/fleetmodel.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "fairnessjudge.h"
-#include "routing/backlogwatch.h"
+#include "fairnesschecker.h"
 #include "routing/dispatcher.h"
+#include "routing/streamadmission.h"
 
 #include <deque>
 #include <map>
@@ -80,13 +80,13 @@
     struct Host
     {
         std::unique_ptr<Routing::Dispatcher> dispatcher;
-        std::unique_ptr<Routing::BacklogWatch> admission;
-        Routing::OthersLoad others;
+        std::unique_ptr<Routing::StreamAdmission> admission;
+        Routing::PeerLoad others;
         std::deque<Task> tasks;
         double budgetMs = 0;
         Routing::HostLoad reported;
         /// The summed reports that are on their way, with their time of arrival.
-        std::deque<std::pair<Base::TimePoint, Routing::OthersLoad>> incoming;
+        std::deque<std::pair<Base::TimePoint, Routing::PeerLoad>> incoming;
     };
 
     double uniform() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
--- a/tests/auto/routing/tst_costobserver.cpp
+++ b/tests/auto/routing/tst_costobserver.cpp
@@ -1,6 +1,6 @@
-#include "routing/backlogwatch.h"
 #include "routing/costobserver.h"
 #include "routing/forwardingmeter.h"
+#include "routing/streamadmission.h"
 
 #include <catch2/catch.hpp>
 
@@ -39,9 +39,9 @@
 /// arrive that refusing them uses more than the other half of the processor.
 double promisedShare(double slowness)
 {
-    BacklogWatch admission(capacity);
+    StreamAdmission admission(capacity);
     Base::TimePoint now = start;
-    admission.noteIdle(now);
+    admission.recordIdle(now);
     double budget = 0;
     double promised = 0;
     double due = 0;
@@ -57,12 +57,12 @@
             // The host alternates between the events of admitted streams and new requests.
             if (events > 0 && (events > 20 || waiting == 0)) {
                 --events;
-                admission.noteEvents(1);
+                admission.recordEvents(1);
                 budget -= 0.04 * slowness;
                 continue;
             }
             --waiting;
-            const bool isTaken = admission.takesStream(stream(), now);
+            const bool isTaken = admission.admitStream(stream(), now);
             budget -= (isTaken ? 0.125 : 0.08) * slowness;
             if (!isTaken)
                 continue;
@@ -72,7 +72,7 @@
         }
         if (waiting + events == 0) {
             budget = 0;
-            admission.noteIdle(now);
+            admission.recordIdle(now);
         }
     }
     return promised / (4000 * processorShare);
@@ -86,11 +86,11 @@
     // three times as long.
     CostObserver observer(capacity);
     CHECK(observer.factor() == 1);
-    observer.noteIdle(start);
+    observer.recordIdle(start);
     keepBusy(observer, start, seconds(4), microseconds(27));
     CHECK(observer.factor() > 2.6);
     CHECK(observer.factor() < 3.1);
-    observer.noteIdle(start + seconds(4));
+    observer.recordIdle(start + seconds(4));
     keepBusy(observer, start + seconds(4), seconds(20), microseconds(80));
     CHECK(observer.factor() < 1.2);
 }
@@ -102,7 +102,7 @@
     for (Base::TimePoint now = start; now < start + seconds(10); now += milliseconds(25)) {
         observer.addWork(microseconds(100));
         observer.advance(now);
-        observer.noteIdle(now);
+        observer.recordIdle(now);
     }
     CHECK(observer.factor() == 1);
 }
@@ -111,7 +111,7 @@
 {
     // Guards against a host that refuses its callers after it was suspended for ten seconds.
     CostObserver observer(capacity);
-    observer.noteIdle(start);
+    observer.recordIdle(start);
     keepBusy(observer, start, seconds(1), microseconds(80));
     keepBusy(observer, start + seconds(11), seconds(1), microseconds(80));
     CHECK(observer.factor() < 1.2);
@@ -122,11 +122,11 @@
     // Guards against a host that never admits a stream again, and against one that admits so many
     // that callers wait for refusals and connections.
     CostObserver slow(capacity);
-    slow.noteIdle(start);
+    slow.recordIdle(start);
     keepBusy(slow, start, seconds(60), microseconds(0));
     CHECK(slow.factor() == 8);
     CostObserver fast(capacity);
-    fast.noteIdle(start);
+    fast.recordIdle(start);
     keepBusy(fast, start, seconds(60), milliseconds(10));
     CHECK(fast.factor() == 1);
 }
--- a/tests/auto/routing/tst_retrypause.cpp
+++ b/tests/auto/routing/tst_exponentialbackoff.cpp
@@ -1,4 +1,4 @@
-#include "routing/retrypause.h"
+#include "routing/exponentialbackoff.h"
 
 #include <catch2/catch.hpp>
 
@@ -10,7 +10,7 @@
 {
     // Guards against a constant pause after failures. While the store is down for five seconds and
     // refuses at once, sixty hosts would call it four times per second on each of two connections.
-    RetryPause pause(milliseconds(250), milliseconds(1000));
+    ExponentialBackoff pause(milliseconds(250), milliseconds(1000));
     CHECK(pause.next() == milliseconds(250));
     CHECK(pause.next() == milliseconds(500));
     CHECK(pause.next() == milliseconds(1000));
--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -100,7 +100,7 @@
     HostLoad load;
     one.report(load, start);
     REQUIRE(load.partUses.size() >= used.size());
-    other.learnPartUses(load.partUses, start);
+    other.applyPartUses(load.partUses, start);
     const Base::TimePoint now = start + milliseconds(200);
     for (WorkId id = 100; id < 104; ++id)
         CHECK(used.count(onlyPlacement(other.submit(prompt(id, 42, now), now))) == 1);
@@ -288,12 +288,12 @@
         return fetched;
     };
     CHECK(fetchedOf(seconds(1)) == 0);
-    traits.moveMsPerToken = 0.001;
+    traits.transferMsPerToken = 0.001;
     CHECK(fetchedOf(seconds(1)) >= 3 * sharedTokens);
     // The source has not read the beginning yet, so a fetch would return nothing.
     CHECK(fetchedOf(milliseconds(10)) == 0);
     // With slow links, reading is cheaper.
-    traits.moveMsPerToken = 0.2;
+    traits.transferMsPerToken = 0.2;
     CHECK(fetchedOf(seconds(1)) == 0);
 }
 
--- a/tests/auto/routing/tst_backlogwatch.cpp
+++ b/tests/auto/routing/tst_streamadmission.cpp
@@ -1,4 +1,4 @@
-#include "routing/backlogwatch.h"
+#include "routing/streamadmission.h"
 
 #include <catch2/catch.hpp>
 
@@ -47,8 +47,8 @@
 {
     const Base::TimePoint firstSecondOver{seconds(101)};
     Base::TimePoint now{seconds(100)};
-    BacklogWatch admission(120);
-    admission.noteIdle(now);
+    StreamAdmission admission(120);
+    admission.recordIdle(now);
     Result result;
     double backlog = 0;
     double due = 0;
@@ -61,13 +61,13 @@
             if (waitFor(backlog) > maxConnectionWait)
                 continue;
             const Work work = isLong ? stream(17000, 480) : stream(1460, 700);
-            if (isSelective && !admission.takesStream(work, now)) {
+            if (isSelective && !admission.admitStream(work, now)) {
                 backlog += 0.08;
                 continue;
             }
             const double cost = 0.125 + 0.04 * (isLong ? 20 : 30);
             backlog += cost;
-            admission.noteEvents(isLong ? 20 : 30);
+            admission.recordEvents(isLong ? 20 : 30);
             if (now >= firstSecondOver)
                 result.promisedMilliseconds += cost;
             result.servedTokens += work.promptTokens;
@@ -75,7 +75,7 @@
         backlog -= processorShare;
         if (backlog <= 0) {
             backlog = 0;
-            admission.noteIdle(now);
+            admission.recordIdle(now);
         }
         result.longestWait = std::max(result.longestWait, waitFor(backlog));
     }
@@ -96,8 +96,8 @@
 PerCustomer simulateTwo(int longPerSecond, int shortPerSecond)
 {
     Base::TimePoint now{seconds(100)};
-    BacklogWatch admission(120);
-    admission.noteIdle(now);
+    StreamAdmission admission(120);
+    admission.recordIdle(now);
     PerCustomer taken;
     double backlog = 0;
     double dueLong = 0;
@@ -113,13 +113,13 @@
             (isLong ? dueLong : dueShort) -= 1;
             Work work = isLong ? stream(17000, 480) : stream(1460, 700);
             work.customer = Base::CustomerId(isLong ? "long" : "short");
-            if (!admission.takesStream(work, now)) {
+            if (!admission.admitStream(work, now)) {
                 backlog += 0.08;
                 continue;
             }
             const double cost = 0.125 + 0.04 * (isLong ? 20 : 30);
             backlog += cost;
-            admission.noteEvents(isLong ? 20 : 30);
+            admission.recordEvents(isLong ? 20 : 30);
             if (ms >= 2000)
                 (isLong ? taken.ofLong : taken.ofShort) += cost;
         }
@@ -127,7 +127,7 @@
         dueShort = std::min(dueShort, 1.0);
         backlog = std::max(backlog - processorShare, 0.0);
         if (backlog <= 0)
-            admission.noteIdle(now);
+            admission.recordIdle(now);
     }
     return taken;
 }
@@ -207,8 +207,8 @@
     // Guards against a share that stays unused because few of a customer's streams have a ratio
     // above their mean.
     Base::TimePoint now{seconds(100)};
-    BacklogWatch admission(120);
-    admission.noteIdle(now);
+    StreamAdmission admission(120);
+    admission.recordIdle(now);
     double promised = 0;
     double backlog = 0;
     for (int i = 0; i < 20000; ++i) {
@@ -216,16 +216,16 @@
         backlog -= processorShare / 2;
         if (backlog <= 0) {
             backlog = 0;
-            admission.noteIdle(now);
+            admission.recordIdle(now);
         }
         if (waitFor(backlog) > seconds(1))
             continue;
         const Work work = i % 100 == 0 ? stream(40000, 400) : stream(1000, 400);
-        if (!admission.takesStream(work, now)) {
+        if (!admission.admitStream(work, now)) {
             backlog += 0.08;
             continue;
         }
-        admission.noteEvents(20);
+        admission.recordEvents(20);
         backlog += 0.125 + 0.04 * 20;
         if (i >= 4000)
             promised += 0.125 + 0.04 * 20;
@@ -238,8 +238,8 @@
 {
     // Guards against a host that serves nobody else during a flood that is beyond its share.
     Base::TimePoint now{seconds(100)};
-    BacklogWatch admission(120);
-    admission.noteIdle(now);
+    StreamAdmission admission(120);
+    admission.recordIdle(now);
     now += seconds(1);
     Work flood = stream(17000, 480);
     flood.customer = Base::CustomerId("flood");
@@ -248,9 +248,9 @@
     std::size_t taken = 0;
     for (int ms = 0; ms < 5000; ++ms) {
         now += milliseconds(1);
-        if (admission.takesStream(flood, now))
-            admission.giveBack(flood, now);
-        if (ms % 100 == 0 && admission.takesStream(small, now))
+        if (admission.admitStream(flood, now))
+            admission.refundStream(flood, now);
+        if (ms % 100 == 0 && admission.admitStream(small, now))
             ++taken;
     }
     CHECK(taken >= 45);
