--- a/src/libs/routing/customerratelimiter.cpp
+++ b/src/libs/routing/customerratelimiter.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-/// Credit that is kept at most, as time: callers come unevenly, and a host that keeps less gives
-/// its customers less than their rate.
-constexpr Base::Duration creditSpan = std::chrono::milliseconds(700);
-/// Debt at most: what was let in before the level was known is not held against a customer for
-/// longer than others need to come up to it.
-constexpr Base::Duration debtSpan = std::chrono::seconds(1);
-/// What a customer begins with: all hosts begin with it at once.
-constexpr Base::Duration firstCreditSpan = std::chrono::milliseconds(250);
+/// The maximum credit, as the time in which it accrues. Callers arrive unevenly, and a host with
+/// less credit would give its customers less than their rate.
+constexpr Base::Duration maxCreditSpan = std::chrono::milliseconds(700);
+/// The maximum debt, as the time in which it is paid off. Requests that were admitted before the
+/// level was known count against a customer for no longer than others need to reach its amount.
+constexpr Base::Duration maxDebtSpan = std::chrono::seconds(1);
+/// The initial credit of a customer, as the time in which it accrues. All hosts grant it at the
+/// same time.
+constexpr Base::Duration initialCreditSpan = std::chrono::milliseconds(250);
 
 double seconds(Base::Duration span)
 {
@@ -23,41 +24,43 @@
 
 } // namespace
 
-double CustomerPacer::creditAt(const Allowance &allowance, Base::TimePoint now)
+double CustomerRateLimiter::creditAt(const TokenBucket &bucket, Base::TimePoint now)
 {
-    const double earned = allowance.tokensPerSecond * seconds(now - allowance.at);
-    return std::min(allowance.credit + earned, allowance.tokensPerSecond * seconds(creditSpan));
+    const double earned = bucket.tokensPerSecond * seconds(now - bucket.at);
+    return std::min(bucket.credit + earned, bucket.tokensPerSecond * seconds(maxCreditSpan));
 }
 
-void CustomerPacer::setRates(const std::map<Base::CustomerId, double> &rates, Base::TimePoint now)
+void CustomerRateLimiter::setRates(const std::map<Base::CustomerId, double> &rates,
+                                   Base::TimePoint now)
 {
-    std::map<Base::CustomerId, Allowance> allowances;
+    std::map<Base::CustomerId, TokenBucket> buckets;
     for (const auto &[customer, rate] : rates) {
-        Allowance allowance{rate, 0, now};
-        const auto before = m_allowances.find(customer);
-        allowance.credit = before == m_allowances.end() ? rate * seconds(firstCreditSpan)
-                                                        : creditAt(before->second, now);
-        allowances[customer] = allowance;
+        TokenBucket bucket{rate, 0, now};
+        const auto before = m_buckets.find(customer);
+        bucket.credit = before == m_buckets.end() ? rate * seconds(initialCreditSpan)
+                                                  : creditAt(before->second, now);
+        buckets[customer] = bucket;
     }
-    m_allowances = std::move(allowances);
+    m_buckets = std::move(buckets);
 }
 
-bool CustomerPacer::mayPass(const Base::CustomerId &customer, Base::TimePoint now) const
+bool CustomerRateLimiter::isAllowed(const Base::CustomerId &customer, Base::TimePoint now) const
 {
-    const auto it = m_allowances.find(customer);
-    return it == m_allowances.end() || creditAt(it->second, now) > 0;
+    const auto it = m_buckets.find(customer);
+    return it == m_buckets.end() || creditAt(it->second, now) > 0;
 }
 
-void CustomerPacer::charge(const Base::CustomerId &customer, double tokens, Base::TimePoint now)
+void CustomerRateLimiter::charge(const Base::CustomerId &customer, double tokens,
+                                 Base::TimePoint now)
 {
-    const auto it = m_allowances.find(customer);
-    if (it == m_allowances.end())
+    const auto it = m_buckets.find(customer);
+    if (it == m_buckets.end())
         return;
-    Allowance &allowance = it->second;
-    // One request may be larger than the debt that is kept; it is paid for whole.
-    const double most = std::max(tokens, allowance.tokensPerSecond * seconds(debtSpan));
-    allowance.credit = std::max(creditAt(allowance, now) - tokens, -most);
-    allowance.at = now;
+    TokenBucket &bucket = it->second;
+    // One request may be larger than the maximum debt; it is charged completely.
+    const double maxDebt = std::max(tokens, bucket.tokensPerSecond * seconds(maxDebtSpan));
+    bucket.credit = std::max(creditAt(bucket, now) - tokens, -maxDebt);
+    bucket.at = now;
 }
 
 } // namespace Routing
--- a/src/libs/routing/decayingsum.h
+++ b/src/libs/routing/decayingsum.h
@@ -8,31 +8,31 @@
 
 namespace Routing {
 
-/// Amounts of each customer over the last seconds, fading: a steady rate of r a second shows as
-/// r times meanSeconds().
-class FadingMeter
+/// Sums up recent amounts of each customer with exponential decay. A steady rate of r per second
+/// has the value r * timeConstantSeconds().
+class DecayingSum
 {
 public:
     void add(const Base::CustomerId &customer, double amount, Base::TimePoint now)
     {
         Entry &entry = m_entries[customer];
-        entry = {faded(entry, now) + amount, now};
+        entry = {decayed(entry, now) + amount, now};
     }
     double value(const Base::CustomerId &customer, Base::TimePoint now) const
     {
         const auto it = m_entries.find(customer);
-        return it == m_entries.end() ? 0 : faded(it->second, now);
+        return it == m_entries.end() ? 0 : decayed(it->second, now);
     }
-    /// Adds to \a sums what has not faded to nothing.
+    /// Adds all amounts to \a sums, except those that have decayed to below 1.
     void addTo(std::map<Base::CustomerId, double> &sums, Base::TimePoint now) const
     {
         for (const auto &[customer, entry] : m_entries) {
-            const double value = faded(entry, now);
+            const double value = decayed(entry, now);
             if (value >= 1)
                 sums[customer] += value;
         }
     }
-    static double meanSeconds()
+    static double timeConstantSeconds()
     {
         return std::chrono::duration<double>(halfLife).count() / std::log(2.0);
     }
@@ -44,11 +44,12 @@
         Base::TimePoint at;
     };
 
-    /// Fairness is owed over some four seconds. A longer memory holds what a surge got before the
-    /// hosts knew of it against its customer for the whole of the next such span.
+    /// Fairness must hold over about four seconds. A longer memory would hold what a customer got
+    /// in a surge, before the hosts knew of it, against that customer for the whole of the
+    /// following four seconds.
     static constexpr Base::Duration halfLife = std::chrono::milliseconds(1400);
 
-    static double faded(const Entry &entry, Base::TimePoint now)
+    static double decayed(const Entry &entry, Base::TimePoint now)
     {
         return entry.amount
                * std::exp2(-static_cast<double>((now - entry.at).count())
--- a/src/libs/routing/promptcachemodel.cpp
+++ b/src/libs/routing/promptcachemodel.cpp
@@ -6,18 +6,19 @@
 
 namespace {
 
-/// How long a part counts as kept after its last use.
-constexpr Base::Duration keptFor = std::chrono::seconds(12);
+/// The time for which a part counts as cached after its last use.
+constexpr Base::Duration cacheLifetime = std::chrono::seconds(12);
 
-/// A third of that: a lost report or two do not make the others forget a part that is in use.
-constexpr Base::Duration tellInterval = std::chrono::seconds(4);
+/// A third of the lifetime: if a report or two are lost, the other hosts still know of a part that
+/// is in use.
+constexpr Base::Duration reportInterval = std::chrono::seconds(4);
 
 } // namespace
 
-std::vector<ChainLink> chainOf(const std::vector<PromptPart> &parts)
+std::vector<PrefixHash> prefixHashes(const std::vector<PromptPart> &parts)
 {
-    std::vector<ChainLink> chain;
-    chain.reserve(parts.size());
+    std::vector<PrefixHash> prefixes;
+    prefixes.reserve(parts.size());
     std::uint64_t hash = 0;
     std::uint32_t sum = 0;
     for (const PromptPart &part : parts) {
@@ -25,70 +26,71 @@
         hash =
             Base::stableHash(std::string_view(reinterpret_cast<const char *>(both), sizeof(both)));
         sum += part.tokens;
-        chain.push_back({hash, sum});
+        prefixes.push_back({hash, sum});
     }
-    return chain;
+    return prefixes;
 }
 
-std::vector<ChainLink> sharedChainOf(const std::vector<PromptPart> &parts)
+std::vector<PrefixHash> sharedPrefixHashes(const std::vector<PromptPart> &parts)
 {
-    std::vector<ChainLink> chain = chainOf(parts);
-    if (!chain.empty())
-        chain.pop_back();
-    return chain;
+    std::vector<PrefixHash> prefixes = prefixHashes(parts);
+    if (!prefixes.empty())
+        prefixes.pop_back();
+    return prefixes;
 }
 
-std::uint32_t PromptCache::keptTokens(const std::vector<ChainLink> &chain,
-                                      Base::TimePoint now) const
+std::uint32_t PromptCacheModel::cachedTokens(const std::vector<PrefixHash> &prefixes,
+                                             Base::TimePoint now) const
 {
-    std::uint32_t kept = 0;
-    for (const ChainLink &link : chain) {
-        const auto it = m_entries.find(link.hash);
-        if (it == m_entries.end() || now - it->second.usedAt >= keptFor)
-            return kept;
-        kept = link.tokensSoFar;
+    std::uint32_t cached = 0;
+    for (const PrefixHash &prefix : prefixes) {
+        const auto it = m_entries.find(prefix.hash);
+        if (it == m_entries.end() || now - it->second.usedAt >= cacheLifetime)
+            return cached;
+        cached = prefix.tokensSoFar;
     }
-    return kept;
+    return cached;
 }
 
-std::uint32_t PromptCache::readTokens(const std::vector<ChainLink> &chain,
-                                      Base::TimePoint now) const
+std::uint32_t PromptCacheModel::fetchableTokens(const std::vector<PrefixHash> &prefixes,
+                                                Base::TimePoint now) const
 {
     std::uint32_t read = 0;
-    for (const ChainLink &link : chain) {
-        const auto it = m_entries.find(link.hash);
-        if (it == m_entries.end() || now - it->second.usedAt >= keptFor || now < it->second.readBy)
+    for (const PrefixHash &prefix : prefixes) {
+        const auto it = m_entries.find(prefix.hash);
+        if (it == m_entries.end() || now - it->second.usedAt >= cacheLifetime
+            || now < it->second.readBy)
             return read;
-        read = link.tokensSoFar;
+        read = prefix.tokensSoFar;
     }
     return read;
 }
 
-void PromptCache::use(std::uint64_t hash, Base::TimePoint now, Base::TimePoint readBy)
+void PromptCacheModel::recordUse(std::uint64_t hash, Base::TimePoint now, Base::TimePoint readBy)
 {
     const auto [it, isNew] = m_entries.try_emplace(hash);
     Entry &entry = it->second;
-    if (isNew || now - entry.usedAt >= keptFor)
+    if (isNew || now - entry.usedAt >= cacheLifetime)
         entry.readBy = readBy;
     entry.usedAt = now;
 }
 
-bool PromptCache::isNews(std::uint64_t hash, Base::TimePoint now)
+bool PromptCacheModel::shouldReport(std::uint64_t hash, Base::TimePoint now)
 {
     const auto it = m_entries.find(hash);
     if (it == m_entries.end())
         return false;
     Entry &entry = it->second;
-    if (entry.toldAt != Base::TimePoint::min() && now - entry.toldAt < tellInterval)
+    if (entry.reportedAt != Base::TimePoint::min() && now - entry.reportedAt < reportInterval)
         return false;
-    entry.toldAt = now;
+    entry.reportedAt = now;
     return true;
 }
 
-void PromptCache::forgetOld(Base::TimePoint now)
+void PromptCacheModel::evictExpired(Base::TimePoint now)
 {
     for (auto it = m_entries.begin(); it != m_entries.end();) {
-        if (now - it->second.usedAt < keptFor) {
+        if (now - it->second.usedAt < cacheLifetime) {
             ++it;
             continue;
         }
@@ -96,7 +98,7 @@
     }
 }
 
-void PromptCache::clear()
+void PromptCacheModel::clear()
 {
     m_entries.clear();
 }
--- a/src/libs/routing/retryshare.cpp
+++ b/src/libs/routing/retryshare.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// Parts that a window is cut into: an old repeat is forgotten at most a twentieth late.
+/// The number of slices of a window. A retry leaves the count at most a twentieth of the window
+/// late.
 constexpr int slicesInWindow = 20;
-/// Part of the ratio that is used. Requests are counted where they arrive, repeats a little
-/// later; a falling load would else overrun the share.
-constexpr double ratioUsed = 0.75;
-/// Part of the slack that is used: a restarted host starts with a whole share again, and a
-/// window can hold the repeats of two starts.
-constexpr double slackUsed = 0.45;
+/// The part of the ratio that is used. Requests count when they arrive and retries a little later,
+/// so a falling load would otherwise exceed the share.
+constexpr double usedRatioShare = 0.75;
+/// The part of the slack that is used. A restarted host begins with a full share again, and a
+/// window can contain the retries of two starts.
+constexpr double usedSlackShare = 0.45;
 
 } // namespace
 
@@ -32,8 +33,9 @@
         repeats += it.repeats;
     }
     const double slack =
-        m_allowance.slack * slackUsed / static_cast<double>(std::max<std::size_t>(hosts, 1));
-    const double allowed = m_allowance.ratio * ratioUsed * static_cast<double>(requests) + slack;
+        m_allowance.slack * usedSlackShare / static_cast<double>(std::max<std::size_t>(hosts, 1));
+    const double allowed =
+        m_allowance.ratio * usedRatioShare * static_cast<double>(requests) + slack;
     if (static_cast<double>(repeats) + 1 > allowed)
         return false;
     ++current.repeats;
--- a/src/libs/routing/streamadmission.cpp
+++ b/src/libs/routing/streamadmission.cpp
@@ -9,29 +9,30 @@
 
 namespace {
 
-/// Weight of the newest stream in means: some dozens count.
-constexpr double newest = 0.03;
-/// Part of the processor that a host which is far behind spends on streams. The other half goes to
-/// refusals, so that those who are turned away hear of it while they can still ask elsewhere.
+/// The weight of the latest stream in means, which thus cover some dozens of streams.
+constexpr double newestWeight = 0.03;
+/// The share of the processor that a host which is far behind spends on streams. The rest goes to
+/// refusals, so that refused callers learn of it while they can still ask another host.
 constexpr double streamShare = 0.5;
-/// Credit that is kept at most, as time of refilling: streams that come together are taken
-/// together, and delay each other's events by no more than callers allow.
-constexpr Base::Duration creditSpan = std::chrono::milliseconds(200);
-/// Debt at most, likewise: a host that has promised more than this before it fell behind still
-/// takes streams again within a second.
-constexpr Base::Duration debtSpan = std::chrono::milliseconds(600);
-/// Until streams have been forwarded, a token that a caller allows is reckoned as this many events:
-/// callers allow four times what is generated, and an event holds some five tokens.
-constexpr double presumedEventsPerToken = 0.05;
-/// Tokens that the presumption weighs: those of some twenty streams.
-constexpr double presumedTokens = 10000;
+/// The maximum credit, as the time in which it accrues. Streams that arrive together are admitted
+/// together, and delay each other's events by no more than callers accept.
+constexpr Base::Duration maxCreditSpan = std::chrono::milliseconds(200);
+/// The maximum debt, as the time in which it is paid off. A host that promised more than this
+/// before it fell behind still admits streams again within a second.
+constexpr Base::Duration maxDebtSpan = std::chrono::milliseconds(600);
+/// The assumed number of events for each token that a caller allows, until streams have been
+/// forwarded. Callers allow four times what is generated, and an event holds about five tokens.
+constexpr double assumedEventsPerToken = 0.05;
+/// The number of tokens with which the assumption is weighted: those of about twenty streams.
+constexpr double assumedTokens = 10000;
 constexpr double milliCoresOfCore = 1000;
-/// Part of its level up to which any stream of a customer is taken.
-constexpr double anyStreamPart = 0.5;
-/// The level is reckoned anew this often: with each stream it would cost more than a refusal.
+/// The share of its level up to which a customer gets any stream admitted.
+constexpr double anyStreamShare = 0.5;
+/// The interval at which the levels are updated. Updating them with each stream would cost more
+/// than a refusal.
 constexpr Base::Duration levelInterval = std::chrono::milliseconds(100);
 
-Base::Duration part(Base::Duration span, double share)
+Base::Duration scaled(Base::Duration span, double share)
 {
     return std::chrono::duration_cast<Base::Duration>(span * share);
 }
@@ -41,11 +42,11 @@
     return std::chrono::duration<double, std::micro>(span).count();
 }
 
-/// Whether \a density is that of a stream that serves much; \a usual is the mean and learns it.
-bool servesMuch(double density, double &usual)
+/// Adds \a density to \a mean, and returns whether it is at least as high as the new mean.
+bool recordDensity(double density, double &mean)
 {
-    usual += (density - usual) * newest;
-    return density >= usual;
+    mean += (density - mean) * newestWeight;
+    return density >= mean;
 }
 
 Base::Duration microseconds(double count)
@@ -84,57 +85,57 @@
 {
     const double density = static_cast<double>(work.promptTokens)
                            / static_cast<double>(std::max(work.outputTokens, 1U));
-    const bool servesItsMost = servesMuch(density, m_usualDensities[work.customer]);
+    const bool isDense = recordDensity(density, m_meanDensities[work.customer]);
     refill(now);
     const double cost = inMicroseconds(expectedCost(work));
     m_asked.add(work.customer, cost, now);
     updateLevels(now);
-    const double taken = m_taken.value(work.customer, now);
+    const double admitted = m_admitted.value(work.customer, now);
     const Base::Duration busy = now - m_idleAt;
-    bool isTaken = busy < choosyAfter;
-    if (!isTaken && busy < rationedAfter) {
-        isTaken = servesItsMost && taken < m_choosyLevel;
-    } else if (!isTaken) {
-        const double mayTake = m_rationedLevel * (servesItsMost ? 1 : anyStreamPart);
-        isTaken = m_credit > Base::Duration::zero() && taken < mayTake;
+    bool isAdmitted = busy < selectiveAfter;
+    if (!isAdmitted && busy < rationedAfter) {
+        isAdmitted = isDense && admitted < m_selectiveLevel;
+    } else if (!isAdmitted) {
+        const double limit = m_rationedLevel * (isDense ? 1 : anyStreamShare);
+        isAdmitted = m_credit > Base::Duration::zero() && admitted < limit;
     }
-    if (isTaken) {
+    if (isAdmitted) {
         charge(work);
-        m_taken.add(work.customer, cost, now);
+        m_admitted.add(work.customer, cost, now);
         recordPlainRequest(now);
     } else {
         recordRefusal(now);
     }
-    return isTaken;
+    return isAdmitted;
 }
 
 void StreamAdmission::refundStream(const Work &work, Base::TimePoint now)
 {
     const Base::Duration cost = expectedCost(work);
     m_credit += cost;
-    m_taken.add(work.customer, -inMicroseconds(cost), now);
+    m_admitted.add(work.customer, -inMicroseconds(cost), now);
     m_cost.addWork(
         microseconds(ForwardingMeter::refusalMicroseconds - ForwardingMeter::requestMicroseconds));
 }
 
 void StreamAdmission::updateLevels(Base::TimePoint now)
 {
-    if (m_levelAt != Base::TimePoint::min() && now - m_levelAt < levelInterval)
+    if (m_levelsAt != Base::TimePoint::min() && now - m_levelsAt < levelInterval)
         return;
-    m_levelAt = now;
+    m_levelsAt = now;
     std::map<Base::CustomerId, double> asked;
     m_asked.addTo(asked, now);
     constexpr double microsecondsOfSecond = 1e6;
     const double capacity =
-        m_capacity / milliCoresOfCore * FadingMeter::meanSeconds() * microsecondsOfSecond;
-    m_choosyLevel = fairLevel(asked, capacity);
-    m_rationedLevel = fairLevel(asked, capacity * streamShare);
+        m_capacity / milliCoresOfCore * DecayingSum::timeConstantSeconds() * microsecondsOfSecond;
+    m_selectiveLevel = maxMinLevel(asked, capacity);
+    m_rationedLevel = maxMinLevel(asked, capacity * streamShare);
 }
 
 Base::Duration StreamAdmission::expectedCost(const Work &work) const
 {
     const double eventsPerToken =
-        (m_events + presumedTokens * presumedEventsPerToken) / (m_allowedTokens + presumedTokens);
+        (m_events + assumedTokens * assumedEventsPerToken) / (m_allowedTokens + assumedTokens);
     const double events = eventsPerToken * work.outputTokens;
     return microseconds(
         (ForwardingMeter::requestMicroseconds + ForwardingMeter::eventMicroseconds * events)
@@ -144,16 +145,16 @@
 void StreamAdmission::refill(Base::TimePoint now)
 {
     const double share = streamShare * m_capacity / milliCoresOfCore;
-    m_credit = std::min(m_credit + part(now - m_refilledAt, share), part(creditSpan, share));
+    m_credit = std::min(m_credit + scaled(now - m_refilledAt, share), scaled(maxCreditSpan, share));
     m_refilledAt = now;
 }
 
 void StreamAdmission::charge(const Work &work)
 {
     const double share = streamShare * m_capacity / milliCoresOfCore;
-    m_credit = std::max(m_credit - expectedCost(work), -part(debtSpan, share));
-    m_events *= 1 - newest;
-    m_allowedTokens *= 1 - newest;
+    m_credit = std::max(m_credit - expectedCost(work), -scaled(maxDebtSpan, share));
+    m_events *= 1 - newestWeight;
+    m_allowedTokens *= 1 - newestWeight;
     m_allowedTokens += work.outputTokens;
 }
 
--- a/tests/auto/routing/fleetmodel.cpp
+++ b/tests/auto/routing/fleetmodel.cpp
@@ -10,19 +10,19 @@
 constexpr Base::Duration tick = milliseconds(5);
 constexpr Base::Duration advanceInterval = milliseconds(25);
 constexpr Base::Duration reportInterval = milliseconds(200);
-constexpr Base::Duration nameInterval = milliseconds(500);
-/// Of the report of a host to a leader, and of the leader's sums.
+constexpr Base::Duration listingInterval = milliseconds(500);
+/// The delay of a host's report to a leader plus that of the leader's sums.
 constexpr Base::Duration reportDelay = milliseconds(250);
-/// A caller leaves whose request is not read within this time.
-constexpr Base::Duration mostUnread = std::chrono::seconds(1);
+/// A caller disconnects if its request is not read within this time.
+constexpr Base::Duration callerTimeout = std::chrono::seconds(1);
 constexpr Base::Duration target = std::chrono::seconds(1);
 constexpr Base::Duration eventInterval = milliseconds(60);
 constexpr double tokensPerMs = 40;
-/// Milliseconds of the processor.
+/// The costs are processor time in milliseconds.
 constexpr double requestCost = 0.125;
 constexpr double eventCost = 0.04;
 constexpr double refusalCost = 0.08;
-constexpr std::size_t mostNewHosts = 2;
+constexpr std::size_t maxNewHosts = 2;
 
 double tokensOf(const CustomerLoad &load)
 {
@@ -54,11 +54,11 @@
 
 FleetModel::FleetModel(const FleetScenario &scenario)
     : m_scenario(scenario)
-    , m_judge(scenario.customers.size(), secondsOf(scenario.length))
+    , m_fairness(scenario.customers.size(), secondsOf(scenario.length))
     , m_random(scenario.seed)
     , m_hosts(scenario.hosts)
     , m_due(scenario.customers.size())
-    , m_namedHosts(static_cast<double>(scenario.namedHosts))
+    , m_listedHosts(static_cast<double>(scenario.listedHosts))
 {
     std::vector<Routing::RegisteredServer> servers(scenario.engines);
     for (std::size_t i = 0; i < servers.size(); ++i) {
@@ -66,24 +66,24 @@
         servers[i].slots = 64;
         m_freeAt[servers[i].id] = m_now;
     }
-    const double told =
-        static_cast<double>(scenario.engines) * tokensPerMs * 1000 * scenario.toldPart;
-    const Routing::ServiceTraits traits{true, 500000, tokensPerMs, told};
+    const double configured =
+        static_cast<double>(scenario.engines) * tokensPerMs * 1000 * scenario.configuredShare;
+    const Routing::ServiceTraits traits{true, 500000, tokensPerMs, configured};
     for (Host &host : m_hosts) {
         host.dispatcher = std::make_unique<Routing::Dispatcher>(traits, Base::ZoneId("z"));
         host.dispatcher->setServers(servers);
         host.others.hosts = scenario.hosts;
         host.dispatcher->setPeerLoad(host.others);
-        host.backlog = std::make_unique<Routing::StreamAdmission>(
+        host.admission = std::make_unique<Routing::StreamAdmission>(
             static_cast<Routing::MilliCores>(scenario.processorShare * 1000));
-        host.backlog->recordIdle(m_now);
+        host.admission->recordIdle(m_now);
     }
 }
 
-void FleetModel::play()
+void FleetModel::run()
 {
     Base::TimePoint nextReport = m_now + reportInterval;
-    Base::TimePoint nextNames = m_now + nameInterval;
+    Base::TimePoint nextListing = m_now + listingInterval;
     Base::TimePoint nextAdvance = m_now;
     const double tickSeconds = std::chrono::duration<double>(tick).count();
     for (const Base::TimePoint end = m_now + m_scenario.length; m_now < end; m_now += tick) {
@@ -118,10 +118,10 @@
             nextReport += reportInterval;
             report();
         }
-        if (m_now >= nextNames) {
-            nextNames += nameInterval;
+        if (m_now >= nextListing) {
+            nextListing += listingInterval;
             if (isFlooding())
-                m_namedHosts += mostNewHosts;
+                m_listedHosts += maxNewHosts;
         }
     }
 }
@@ -137,9 +137,9 @@
 
 std::size_t FleetModel::hostFor(const CustomerLoad &load)
 {
-    const auto named = std::min(static_cast<std::size_t>(m_namedHosts), m_hosts.size());
+    const auto listed = std::min(static_cast<std::size_t>(m_listedHosts), m_hosts.size());
     if (load.hosts == 0)
-        return m_random() % named;
+        return m_random() % listed;
     return (load.firstHost + m_random() % load.hosts) % m_hosts.size();
 }
 
@@ -149,7 +149,7 @@
     const std::size_t host = hostFor(load);
     const Routing::WorkId id = ++m_lastId;
     m_requests[id] = {customer, host, m_now, firstAsked, isRetry, false};
-    m_judge.asked(customer, tokensOf(load), m_now - m_start);
+    m_fairness.recordAsked(customer, tokensOf(load), m_now - m_start);
     m_hosts[host].tasks.push_back({Task::Kind::Request, id, m_now});
 }
 
@@ -165,7 +165,7 @@
         it.budgetMs -= perform(host, task) * m_scenario.slowness;
     }
     if (it.tasks.empty())
-        it.backlog->recordIdle(m_now);
+        it.admission->recordIdle(m_now);
 }
 
 double FleetModel::perform(std::size_t host, const Task &task)
@@ -176,10 +176,10 @@
         return receive(host, task.id);
     case Task::Kind::FirstEvent:
         it.dispatcher->started(task.id, m_now);
-        it.backlog->recordEvents(1);
+        it.admission->recordEvents(1);
         return eventCost;
     case Task::Kind::Event:
-        it.backlog->recordEvents(1);
+        it.admission->recordEvents(1);
         return eventCost;
     case Task::Kind::End:
         apply(host, it.dispatcher->finished(task.id, Routing::AttemptOutcome::Served, m_now));
@@ -194,12 +194,12 @@
     Host &it = m_hosts[host];
     const Request request = m_requests.at(id);
     const CustomerLoad &load = m_scenario.customers[request.customer];
-    if (m_now - request.readyAt > mostUnread) {
+    if (m_now - request.readyAt > callerTimeout) {
         refused(id, Base::Duration::zero());
         return 0;
     }
     Routing::Work work = workOf(id, load);
-    if (!it.backlog->admitStream(work, m_now)) {
+    if (!it.admission->admitStream(work, m_now)) {
         it.dispatcher->recordTurnedAway(work, m_now);
         refused(id, milliseconds(400));
         return refusalCost;
@@ -226,7 +226,7 @@
 {
     for (const Routing::TurnedAway &it : decisions.turnedAway) {
         const CustomerLoad &load = m_scenario.customers[m_requests.at(it.work).customer];
-        m_hosts[host].backlog->refundStream(workOf(it.work, load), m_now);
+        m_hosts[host].admission->refundStream(workOf(it.work, load), m_now);
         refused(it.work, it.retryAfter);
     }
     for (const Routing::Placement &it : decisions.placements) {
@@ -237,9 +237,9 @@
         free = std::max(free, m_now)
                + std::chrono::duration_cast<Base::Duration>(
                    std::chrono::duration<double, std::milli>(readMs));
-        m_judge.got(request.customer, tokensOf(load), free - m_start);
+        m_fairness.recordReceived(request.customer, tokensOf(load), free - m_start);
         if (free - request.firstAsked > target)
-            m_judge.waited(request.customer, free - m_start);
+            m_fairness.recordDelayed(request.customer, free - m_start);
         m_events.insert({free, {host, {Task::Kind::FirstEvent, it.work, free}}});
         Base::TimePoint at = free;
         for (unsigned i = 1; i < load.events; ++i) {
@@ -255,7 +255,7 @@
     const auto it = m_requests.find(id);
     const Request request = it->second;
     m_requests.erase(it);
-    m_judge.waited(request.customer, m_now - m_start);
+    m_fairness.recordDelayed(request.customer, m_now - m_start);
     if (!request.isRetry)
         m_retries.insert({m_now + retryAfter + milliseconds(20), request});
 }
@@ -277,16 +277,16 @@
             if (&from != &host)
                 add(others, from.reported);
         }
-        host.coming.emplace_back(m_now + reportDelay, std::move(others));
+        host.incoming.emplace_back(m_now + reportDelay, std::move(others));
     }
 }
 
 void FleetModel::deliver()
 {
     for (Host &host : m_hosts) {
-        while (!host.coming.empty() && host.coming.front().first <= m_now) {
-            host.others = std::move(host.coming.front().second);
-            host.coming.pop_front();
+        while (!host.incoming.empty() && host.incoming.front().first <= m_now) {
+            host.others = std::move(host.incoming.front().second);
+            host.incoming.pop_front();
             host.dispatcher->peerLoadChanged();
         }
     }
--- a/tests/auto/routing/tst_costobserver.cpp
+++ b/tests/auto/routing/tst_costobserver.cpp
@@ -13,14 +13,15 @@
 
 constexpr Base::TimePoint start{seconds(100)};
 constexpr MilliCores capacity = 80;
-constexpr double millisecondsOfProcessor = 0.08;
+constexpr double processorShare = 0.08;
 
-/// A host that is never idle for \a time does what is reckoned as \a reckoned in each millisecond.
+/// Simulates a host that is never idle for \a time. In each millisecond it does work with the
+/// estimated cost \a expected.
 void keepBusy(CostObserver &observer, Base::TimePoint from, Base::Duration time,
-              Base::Duration reckoned)
+              Base::Duration expected)
 {
     for (Base::TimePoint now = from; now < from + time; now += milliseconds(1)) {
-        observer.addWork(reckoned);
+        observer.addWork(expected);
         observer.advance(now);
     }
 }
@@ -33,14 +34,14 @@
     return work;
 }
 
-/// Part of the processor that a host of which all takes \a slowness times as long promises to
-/// streams: of four seconds, after it has been behind for one. So many streams come that refusing
-/// them takes more than the other half.
-double promisedPart(double slowness)
+/// Returns the share of the processor that a host promises to streams, over four seconds, after it
+/// has been behind for one. All work takes \a slowness times as long as estimated. So many streams
+/// arrive that refusing them uses more than the other half of the processor.
+double promisedShare(double slowness)
 {
-    StreamAdmission watch(capacity);
+    StreamAdmission admission(capacity);
     Base::TimePoint now = start;
-    watch.recordIdle(now);
+    admission.recordIdle(now);
     double budget = 0;
     double promised = 0;
     double due = 0;
@@ -51,17 +52,17 @@
         due += 0.7 / slowness;
         for (; due >= 1; due -= 1)
             ++waiting;
-        budget += millisecondsOfProcessor;
+        budget += processorShare;
         while (budget > 0 && waiting + events > 0) {
-            // In turn: events of taken streams, and what comes in.
+            // The host alternates between the events of admitted streams and new requests.
             if (events > 0 && (events > 20 || waiting == 0)) {
                 --events;
-                watch.recordEvents(1);
+                admission.recordEvents(1);
                 budget -= 0.04 * slowness;
                 continue;
             }
             --waiting;
-            const bool isTaken = watch.admitStream(stream(), now);
+            const bool isTaken = admission.admitStream(stream(), now);
             budget -= (isTaken ? 0.125 : 0.08) * slowness;
             if (!isTaken)
                 continue;
@@ -71,17 +72,18 @@
         }
         if (waiting + events == 0) {
             budget = 0;
-            watch.recordIdle(now);
+            admission.recordIdle(now);
         }
     }
-    return promised / (4000 * millisecondsOfProcessor);
+    return promised / (4000 * processorShare);
 }
 
 } // namespace
 
-TEST_CASE("what work takes is seen on a host that is never idle", "[routing]")
+TEST_CASE("the cost of work is observed on a host that is never idle", "[routing]")
 {
-    // Guards against costs that hold on one machine only: another one takes three times as long.
+    // Guards against cost estimates that are valid on one machine only, where another one takes
+    // three times as long.
     CostObserver observer(capacity);
     CHECK(observer.factor() == 1);
     observer.recordIdle(start);
@@ -93,9 +95,9 @@
     CHECK(observer.factor() < 1.2);
 }
 
-TEST_CASE("a host that has pauses learns nothing from them", "[routing]")
+TEST_CASE("idle time of a host does not change the observed cost", "[routing]")
 {
-    // Guards against an idle host that takes itself for a slow one.
+    // Guards against an idle host that considers itself slow.
     CostObserver observer(capacity);
     for (Base::TimePoint now = start; now < start + seconds(10); now += milliseconds(25)) {
         observer.addWork(microseconds(100));
@@ -105,9 +107,9 @@
     CHECK(observer.factor() == 1);
 }
 
-TEST_CASE("a host that was stopped does not take itself for a slow one", "[routing]")
+TEST_CASE("the suspension of a host does not change the observed cost", "[routing]")
 {
-    // Guards against a host that turns its callers away after it was frozen for ten seconds.
+    // Guards against a host that refuses its callers after it was suspended for ten seconds.
     CostObserver observer(capacity);
     observer.recordIdle(start);
     keepBusy(observer, start, seconds(1), microseconds(80));
@@ -115,10 +117,10 @@
     CHECK(observer.factor() < 1.2);
 }
 
-TEST_CASE("the observed cost has bounds", "[routing]")
+TEST_CASE("the observed cost factor is limited", "[routing]")
 {
-    // Guards against a host that never again takes a stream, or so many that callers wait for its
-    // refusals, and for connections.
+    // Guards against a host that never admits a stream again, and against one that admits so many
+    // that callers wait for refusals and connections.
     CostObserver slow(capacity);
     slow.recordIdle(start);
     keepBusy(slow, start, seconds(60), microseconds(0));
@@ -129,22 +131,23 @@
     CHECK(fast.factor() == 1);
 }
 
-TEST_CASE("a slow host promises no more of its processor than another one", "[routing]")
+TEST_CASE("a slow host promises no larger share of its processor than another one", "[routing]")
 {
-    // A host's streams come late for everybody. Cause: where its work takes four times as long as
-    // reckoned, the half of its processor that it promised was all of it, twice.
-    CHECK(promisedPart(1) < 0.65);
-    CHECK(promisedPart(4) < 0.7);
+    // Guards against a slow host that promises too much. Where work takes four times as long as
+    // estimated, half of the processor as estimated would be twice the whole processor, and all
+    // streams would be late.
+    CHECK(promisedShare(1) < 0.65);
+    CHECK(promisedShare(4) < 0.7);
 }
 
-TEST_CASE("the load that a slow host reports is what its work takes", "[routing]")
+TEST_CASE("the load that a slow host reports is the actual cost of its work", "[routing]")
 {
-    // Guards against a fleet of slow hosts that names too few of them to callers.
+    // Guards against a fleet of slow hosts that lists too few entry hosts.
     ForwardingMeter meter;
     meter.setCostFactor(4);
     for (Base::TimePoint now = start; now < start + seconds(20); now += milliseconds(10))
         meter.addRequest(now);
-    // A hundred requests of half a millisecond in each second.
+    // The load is a hundred requests of half a millisecond in each second.
     CHECK(meter.load(start + seconds(20)) >= 48);
     CHECK(meter.load(start + seconds(20)) <= 52);
 }
--- a/tests/auto/routing/tst_fleetfairness.cpp
+++ b/tests/auto/routing/tst_fleetfairness.cpp
@@ -23,17 +23,17 @@
     return load;
 }
 
-/// Empty if nobody was held down.
-std::string heldDownIn(const FleetScenario &scenario)
+/// Returns a description of an underserved customer, or an empty text if there is none.
+std::string underservedIn(const FleetScenario &scenario)
 {
     FleetModel model(scenario);
-    model.play();
-    const auto heldDown = model.judge().heldDown();
-    return heldDown ? describe(*heldDown) : std::string();
+    model.run();
+    const auto underserved = model.fairness().findUnderserved();
+    return underserved ? describe(*underserved) : std::string();
 }
 
 /// A large customer floods, then a second one, then a small one, while more and more hosts are
-/// named.
+/// listed.
 FleetScenario floodsInTurn()
 {
     FleetScenario scenario;
@@ -49,8 +49,8 @@
     return scenario;
 }
 
-/// Where the callers of a customer are.
-enum class CallersAt { NamedHosts, AnyHosts };
+/// The hosts that a customer's callers use.
+enum class CallersAt { ListedHosts, AnyHosts };
 
 CustomerLoad drawCustomer(const std::string &name, double requestsPerSecond, CallersAt callersAt,
                           std::size_t hosts)
@@ -87,37 +87,38 @@
     return scenario;
 }
 
-void checkNobodyIsHeldDown(CallersAt callersAt)
+void checkNobodyIsUnderserved(CallersAt callersAt)
 {
-    const std::string heldDown = heldDownIn(drawScenario(callersAt));
-    if (!heldDown.empty())
-        RC_FAIL(heldDown);
+    const std::string underserved = underservedIn(drawScenario(callersAt));
+    if (!underserved.empty())
+        RC_FAIL(underserved);
 }
 
 } // namespace
 
-TEST_CASE("floods that begin one after the other hold nobody down", "[routing]")
+TEST_CASE("floods that begin one after the other leave no customer underserved", "[routing]")
 {
-    // Guards against hosts that all let in a customer at the same moment, on sums that are late.
+    // Guards against hosts that all admit a customer at the same moment because their sums are out
+    // of date.
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         FleetScenario scenario = floodsInTurn();
         scenario.seed = seed;
         INFO("seed " << seed);
-        CHECK(heldDownIn(scenario).empty());
+        CHECK(underservedIn(scenario).empty());
     }
 }
 
-TEST_CASE("nobody is held down whatever the hosts' speed and the customers' work",
+TEST_CASE("no customer is underserved, whatever the hosts' speed and the customers' requests",
           "[routing][fleet]")
 {
     // Guards against a customer that gets less than half of what the best served one gets.
-    rc::prop("callers go to the hosts that are named",
-             [] { checkNobodyIsHeldDown(CallersAt::NamedHosts); });
+    rc::prop("callers use the listed hosts",
+             [] { checkNobodyIsUnderserved(CallersAt::ListedHosts); });
 }
 
-TEST_CASE("nobody is held down though callers stay with their hosts", "[routing][fleet]")
+TEST_CASE("no customer is underserved if callers stay with their hosts", "[routing][fleet]")
 {
     // Guards against a customer whose callers all stay with one host that is behind.
-    rc::prop("callers stay with one host, with three, or go to the hosts that are named",
-             [] { checkNobodyIsHeldDown(CallersAt::AnyHosts); });
+    rc::prop("callers stay with one host, stay with three, or use the listed hosts",
+             [] { checkNobodyIsUnderserved(CallersAt::AnyHosts); });
 }
--- a/tests/auto/routing/tst_streamadmission.cpp
+++ b/tests/auto/routing/tst_streamadmission.cpp
@@ -10,22 +10,23 @@
 
 namespace {
 
-/// What a small host made of ten seconds of load.
-struct Outcome
+/// The result of ten seconds of load on a small host.
+struct Result
 {
     Base::Duration longestWait{};
     double servedTokens = 0;
-    /// Of the processor, that the streams take which were taken after the first second.
+    /// The processor time of the streams that were admitted after the first second.
     double promisedMilliseconds = 0;
 };
 
-/// Of each millisecond.
-constexpr double millisecondsOfProcessor = 0.12;
+/// The processor time that is available in each millisecond.
+constexpr double processorShare = 0.12;
 
-/// Until a host with \a backlog, in milliseconds of its processor, gets to what comes now.
+/// Returns the time until a host with a \a backlog, given in milliseconds of its processor, starts
+/// on new work.
 Base::Duration waitFor(double backlog)
 {
-    const std::chrono::duration<double, std::milli> wait(backlog / millisecondsOfProcessor);
+    const std::chrono::duration<double, std::milli> wait(backlog / processorShare);
     return std::chrono::duration_cast<Base::Duration>(wait);
 }
 
@@ -37,17 +38,18 @@
     return work;
 }
 
-/// \a streamsPerSecond streams a second, half of them with long prompts and twenty events and half
-/// with short prompts and thirty, come to a host of 0.12 cores. A request takes 125 us, an event
-/// 40 us, a refusal 80 us. Connections that would wait for longer than \a callersWait are not
-/// accepted any more.
-Outcome play(int streamsPerSecond, bool chooses, Base::Duration callersWait = Base::Duration::max())
+/// Simulates a host of 0.12 cores that gets \a streamsPerSecond streams. Half of them have long
+/// prompts and twenty events, the others short prompts and thirty events. A request costs 125
+/// us, an event 40 us, a refusal 80 us. Connections that would wait for longer than
+/// \a maxConnectionWait are not accepted.
+Result simulate(int streamsPerSecond, bool isSelective,
+                Base::Duration maxConnectionWait = Base::Duration::max())
 {
     const Base::TimePoint firstSecondOver{seconds(101)};
     Base::TimePoint now{seconds(100)};
-    StreamAdmission watch(120);
-    watch.recordIdle(now);
-    Outcome outcome;
+    StreamAdmission admission(120);
+    admission.recordIdle(now);
+    Result result;
     double backlog = 0;
     double due = 0;
     bool isLong = false;
@@ -56,44 +58,46 @@
         due += streamsPerSecond / 1000.0;
         for (; due >= 1; due -= 1) {
             isLong = !isLong;
-            if (waitFor(backlog) > callersWait)
+            if (waitFor(backlog) > maxConnectionWait)
                 continue;
             const Work work = isLong ? stream(17000, 480) : stream(1460, 700);
-            if (chooses && !watch.admitStream(work, now)) {
+            if (isSelective && !admission.admitStream(work, now)) {
                 backlog += 0.08;
                 continue;
             }
             const double cost = 0.125 + 0.04 * (isLong ? 20 : 30);
             backlog += cost;
-            watch.recordEvents(isLong ? 20 : 30);
+            admission.recordEvents(isLong ? 20 : 30);
             if (now >= firstSecondOver)
-                outcome.promisedMilliseconds += cost;
-            outcome.servedTokens += work.promptTokens;
+                result.promisedMilliseconds += cost;
+            result.servedTokens += work.promptTokens;
         }
-        backlog -= millisecondsOfProcessor;
+        backlog -= processorShare;
         if (backlog <= 0) {
             backlog = 0;
-            watch.recordIdle(now);
+            admission.recordIdle(now);
         }
-        outcome.longestWait = std::max(outcome.longestWait, waitFor(backlog));
+        result.longestWait = std::max(result.longestWait, waitFor(backlog));
     }
-    return outcome;
+    return result;
 }
 
-/// Processor time that streams of two customers took which were taken after the first two seconds.
+/// The processor time of the streams of two customers that were admitted after the first two
+/// seconds.
 struct PerCustomer
 {
     double ofLong = 0;
     double ofShort = 0;
 };
 
-/// For ten seconds one customer sends streams with long prompts and short answers to a host of
-/// 0.12 cores, and another one streams with short prompts and long answers, each so many a second.
-PerCustomer playTwo(int longPerSecond, int shortPerSecond)
+/// Simulates ten seconds on a host of 0.12 cores. One customer sends streams with long prompts and
+/// short answers, another one streams with short prompts and long answers, each at its own rate per
+/// second.
+PerCustomer simulateTwo(int longPerSecond, int shortPerSecond)
 {
     Base::TimePoint now{seconds(100)};
-    StreamAdmission watch(120);
-    watch.recordIdle(now);
+    StreamAdmission admission(120);
+    admission.recordIdle(now);
     PerCustomer taken;
     double backlog = 0;
     double dueLong = 0;
@@ -103,131 +107,139 @@
         dueLong += longPerSecond / 1000.0;
         dueShort += shortPerSecond / 1000.0;
         while ((dueLong >= 1 || dueShort >= 1) && waitFor(backlog) <= seconds(1)) {
-            // Who is first takes turns: at one moment not all are accepted.
+            // The customers take turns at being first, since not all connections are accepted at
+            // the same moment.
             const bool isLong = ms % 2 == 0 ? dueLong >= 1 : dueShort < 1;
             (isLong ? dueLong : dueShort) -= 1;
             Work work = isLong ? stream(17000, 480) : stream(1460, 700);
             work.customer = Base::CustomerId(isLong ? "long" : "short");
-            if (!watch.admitStream(work, now)) {
+            if (!admission.admitStream(work, now)) {
                 backlog += 0.08;
                 continue;
             }
             const double cost = 0.125 + 0.04 * (isLong ? 20 : 30);
             backlog += cost;
-            watch.recordEvents(isLong ? 20 : 30);
+            admission.recordEvents(isLong ? 20 : 30);
             if (ms >= 2000)
                 (isLong ? taken.ofLong : taken.ofShort) += cost;
         }
         dueLong = std::min(dueLong, 1.0);
         dueShort = std::min(dueShort, 1.0);
-        backlog = std::max(backlog - millisecondsOfProcessor, 0.0);
+        backlog = std::max(backlog - processorShare, 0.0);
         if (backlog <= 0)
-            watch.recordIdle(now);
+            admission.recordIdle(now);
     }
     return taken;
 }
 
 } // namespace
 
-TEST_CASE("a host with three times the streams that it can forward stays near its callers",
+TEST_CASE("a host with three times the streams that it can forward keeps its backlog short",
           "[routing]")
 {
-    // A large customer's callers stay with one host of an eighth of a core. Their streams end
-    // unfinished, and for fifteen seconds nobody else can even connect. Cause: the host took in
-    // whatever came, and its backlog grew with every second.
-    CHECK(play(330, false).longestWait > seconds(10));
-    CHECK(play(330, true).longestWait < milliseconds(1200));
+    // Guards against a host that admits every stream while a large customer's callers stay with it.
+    // Its backlog then grows with every second: the streams end unfinished, and for fifteen seconds
+    // nobody else can connect.
+    CHECK(simulate(330, false).longestWait > seconds(10));
+    CHECK(simulate(330, true).longestWait < milliseconds(1200));
 }
 
-TEST_CASE("a host that is behind takes the streams that serve most for their cost", "[routing]")
+TEST_CASE("a host that is behind admits the streams with the highest ratio of service to cost",
+          "[routing]")
 {
-    // The same customer gets a tenth of what others get. Cause: its host spent its processor on
-    // many events of small work; of its 1,300 us a stream a long prompt takes 925.
-    const Outcome outcome = play(330, true);
-    // Taken as they come, a host that keeps up serves 106 streams a second of 9,230 tokens.
-    CHECK(outcome.servedTokens > 1.3 * 10 * 106 * 9230);
+    // Guards against a host that spends its processor on the many events of small streams. A stream
+    // costs 1,300 us, of which a long prompt uses 925, and the host's customer would get a tenth of
+    // what others get.
+    const Result result = simulate(330, true);
+    // If it admitted all streams, a host that keeps up would serve 106 streams of 9,230 tokens per
+    // second.
+    CHECK(result.servedTokens > 1.3 * 10 * 106 * 9230);
 }
 
-TEST_CASE("a host whose refusals alone fill its processor still serves its customer", "[routing]")
+TEST_CASE("a host whose refusals alone use its whole processor still serves its customer",
+          "[routing]")
 {
-    // A large customer's callers all stay with one host of an eighth of a core: 2,400 requests a
-    // second with those that come back, while seven other hosts are idle. Callers see nothing but
-    // refusals for as long as it lasts, though the pool has room. Cause: refusing them fills the
-    // processor, so the host is never idle, and a host that is behind took no streams.
-    const Outcome outcome = play(2400, true, seconds(1));
-    // Another customer got 450,000 tokens a second. Fair is half of that; half again is the room.
-    CHECK(outcome.servedTokens > 1.5 * 10 * 450000 / 2);
-    // And those that it takes are not promised more than half of its processor can forward.
-    CHECK(outcome.promisedMilliseconds < 0.55 * 9000 * millisecondsOfProcessor);
+    // A large customer's callers all stay with one host of an eighth of a core. With retries they
+    // send 2,400 requests per second, while seven other hosts are idle. Refusing them uses the
+    // whole processor, so the host is never idle. Guards against such a host refusing all streams
+    // as long as the load lasts, although the pool has capacity.
+    const Result result = simulate(2400, true, seconds(1));
+    // Another customer got 450,000 tokens per second. Half of that is fair, and the bound adds half
+    // as much again.
+    CHECK(result.servedTokens > 1.5 * 10 * 450000 / 2);
+    // The admitted streams need no more than half of the host's processor.
+    CHECK(result.promisedMilliseconds < 0.55 * 9000 * processorShare);
 }
 
 TEST_CASE("a host that keeps up refuses nothing", "[routing]")
 {
-    const Outcome all = play(90, false);
-    const Outcome chosen = play(90, true);
+    const Result all = simulate(90, false);
+    const Result chosen = simulate(90, true);
     CHECK(all.servedTokens == chosen.servedTokens);
     CHECK(all.longestWait == chosen.longestWait);
 }
 
-TEST_CASE("a customer with short prompts and long answers is not the one passed over", "[routing]")
+TEST_CASE("a customer with short prompts and long answers gets its share of a host that is behind",
+          "[routing]")
 {
-    // Two customers' callers stay with one host that is behind. One of them gets nothing for as
-    // long as that lasts. Cause: only streams that serve most for their cost were taken, and all of
-    // its streams serve less than the other's.
-    const PerCustomer taken = playTwo(200, 100);
+    // Two customers' callers stay with one host that is behind. Guards against admitting only
+    // streams with a high ratio of service to cost over all customers: all streams of one customer
+    // have a lower ratio than those of the other, so it would get nothing.
+    const PerCustomer taken = simulateTwo(200, 100);
     CHECK(taken.ofLong > 0);
     CHECK(taken.ofShort > 0.7 * taken.ofLong);
     CHECK(taken.ofShort < 1.4 * taken.ofLong);
 }
 
-TEST_CASE("a customer that asks ten times as much at a host that is behind gets no more",
+TEST_CASE("a customer that sends many more requests to a host that is behind gets no more of it",
           "[routing]")
 {
-    // Guards against a host that serves whoever asks most often.
-    const PerCustomer taken = playTwo(1500, 80);
+    // Guards against a host that serves the customer with the most requests.
+    const PerCustomer taken = simulateTwo(1500, 80);
     CHECK(taken.ofShort > 0.7 * taken.ofLong);
-    const PerCustomer other = playTwo(80, 1500);
+    const PerCustomer other = simulateTwo(80, 1500);
     CHECK(other.ofLong > 0.7 * other.ofShort);
 }
 
-TEST_CASE("a customer whose large streams are rare uses its part of a host that is behind",
+TEST_CASE("a customer whose large streams are rare uses its share of a host that is behind",
           "[routing]")
 {
-    // Guards against a part that is left unused: few of its streams serve more than their mean.
+    // Guards against a share that stays unused because few of a customer's streams have a ratio
+    // above their mean.
     Base::TimePoint now{seconds(100)};
-    StreamAdmission watch(120);
-    watch.recordIdle(now);
+    StreamAdmission admission(120);
+    admission.recordIdle(now);
     double promised = 0;
     double backlog = 0;
     for (int i = 0; i < 20000; ++i) {
         now += std::chrono::microseconds(500);
-        backlog -= millisecondsOfProcessor / 2;
+        backlog -= processorShare / 2;
         if (backlog <= 0) {
             backlog = 0;
-            watch.recordIdle(now);
+            admission.recordIdle(now);
         }
         if (waitFor(backlog) > seconds(1))
             continue;
         const Work work = i % 100 == 0 ? stream(40000, 400) : stream(1000, 400);
-        if (!watch.admitStream(work, now)) {
+        if (!admission.admitStream(work, now)) {
             backlog += 0.08;
             continue;
         }
-        watch.recordEvents(20);
+        admission.recordEvents(20);
         backlog += 0.125 + 0.04 * 20;
         if (i >= 4000)
             promised += 0.125 + 0.04 * 20;
     }
-    CHECK(promised > 0.15 * 8000 * millisecondsOfProcessor);
+    CHECK(promised > 0.15 * 8000 * processorShare);
 }
 
-TEST_CASE("streams that are refused for another reason take nothing of what a host promises",
+TEST_CASE("streams that are refused for another reason use none of the promised processor time",
           "[routing]")
 {
-    // Guards against a host that serves nobody beside a flood that is beyond its share.
+    // Guards against a host that serves nobody else during a flood that is beyond its share.
     Base::TimePoint now{seconds(100)};
-    StreamAdmission watch(120);
-    watch.recordIdle(now);
+    StreamAdmission admission(120);
+    admission.recordIdle(now);
     now += seconds(1);
     Work flood = stream(17000, 480);
     flood.customer = Base::CustomerId("flood");
@@ -236,9 +248,9 @@
     std::size_t taken = 0;
     for (int ms = 0; ms < 5000; ++ms) {
         now += milliseconds(1);
-        if (watch.admitStream(flood, now))
-            watch.refundStream(flood, now);
-        if (ms % 100 == 0 && watch.admitStream(small, now))
+        if (admission.admitStream(flood, now))
+            admission.refundStream(flood, now);
+        if (ms % 100 == 0 && admission.admitStream(small, now))
             ++taken;
     }
     CHECK(taken >= 45);
