--- a/src/libs/daemon/daemon.h
+++ b/src/libs/daemon/daemon.h
@@ -51,7 +51,7 @@
     /// Asks the platform for the host list; called each hostListInterval.
     void pollHosts();
 
-    std::uint16_t callerPort() const { return m_front->port(); }
+    std::uint16_t callerPort() const { return m_httpServer->port(); }
     std::uint16_t peerPort() const { return m_peerServer->port(); }
     GrpcPeerTransport::Totals controlBytes() const { return m_peers->totals(); }
 
@@ -76,7 +76,7 @@
     std::unique_ptr<PlatformClient> m_platform;
     std::unique_ptr<CoreThread> m_core;
     std::unique_ptr<GrpcPeerServer> m_peerServer;
-    std::unique_ptr<HttpFront> m_front;
+    std::unique_ptr<HttpServer> m_httpServer;
 };
 
 } // namespace Daemon
--- a/src/libs/daemon/httpfront.cpp
+++ b/src/libs/daemon/httpfront.cpp
@@ -88,11 +88,11 @@
 } // namespace
 
 /// The HTTP library's callbacks; plain functions that find their object.
-struct HttpFrontCallbacks
+struct HttpServerCallbacks
 {
     static int serve(const _u_request *request, _u_response *response, void *front)
     {
-        static_cast<HttpFront *>(front)->serve(*request, *response);
+        static_cast<HttpServer *>(front)->serve(*request, *response);
         return U_CALLBACK_COMPLETE;
     }
 
@@ -107,9 +107,9 @@
                                 MHD_ConnectionNotificationCode code)
     {
         if (code == MHD_CONNECTION_NOTIFY_STARTED)
-            ++static_cast<HttpFront *>(front)->m_connections;
+            ++static_cast<HttpServer *>(front)->m_connections;
         else
-            --static_cast<HttpFront *>(front)->m_connections;
+            --static_cast<HttpServer *>(front)->m_connections;
     }
 
     static ssize_t readStream(void *stream, std::uint64_t, char *buf, std::size_t size)
@@ -120,19 +120,19 @@
     static void freeStream(void *stream) { delete static_cast<AnswerStream *>(stream); }
 };
 
-Base::Result<std::unique_ptr<HttpFront>>
-HttpFront::create(const HttpFrontSettings &settings, CallerSessions &sessions, EventRing &ring,
-                  const ProcessState &state, MetricsPage &metrics)
+Base::Result<std::unique_ptr<HttpServer>>
+HttpServer::create(const HttpServerSettings &settings, CallerSessions &sessions, EventRing &ring,
+                   const ProcessState &state, MetricsPage &metrics)
 {
-    std::unique_ptr<HttpFront> front(new HttpFront(settings, sessions, ring, state, metrics));
+    std::unique_ptr<HttpServer> front(new HttpServer(settings, sessions, ring, state, metrics));
     Base::Result<void> started = front->start();
     if (!started)
         return started.error();
     return front;
 }
 
-HttpFront::HttpFront(const HttpFrontSettings &settings, CallerSessions &sessions, EventRing &ring,
-                     const ProcessState &state, MetricsPage &metrics)
+HttpServer::HttpServer(const HttpServerSettings &settings, CallerSessions &sessions,
+                       EventRing &ring, const ProcessState &state, MetricsPage &metrics)
     : m_settings(settings)
     , m_sessions(sessions)
     , m_ring(ring)
@@ -140,16 +140,16 @@
     , m_metrics(metrics)
 {}
 
-HttpFront::~HttpFront() = default;
+HttpServer::~HttpServer() = default;
 
-void HttpFront::Stopper::operator()(_u_instance *instance) const
+void HttpServer::InstanceDeleter::operator()(_u_instance *instance) const
 {
     ulfius_stop_framework(instance);
     ulfius_clean_instance(instance);
     delete instance;
 }
 
-Base::Result<void> HttpFront::start()
+Base::Result<void> HttpServer::start()
 {
     BOOST_LEAF_AUTO(address, parseAddress(m_settings.address));
     BOOST_LEAF_ASSIGN(m_watcher, HangupWatcher::create(
@@ -161,15 +161,15 @@
     m_instance->check_utf8 = 0;
     // One byte more than allowed is read, so that a larger body shows itself as larger.
     m_instance->max_post_body_size = m_settings.bodyBytes + 1;
-    ulfius_add_endpoint_by_val(m_instance.get(), "*", nullptr, "*", 0, &HttpFrontCallbacks::serve,
+    ulfius_add_endpoint_by_val(m_instance.get(), "*", nullptr, "*", 0, &HttpServerCallbacks::serve,
                                this);
     const auto limit = static_cast<intptr_t>(m_settings.connections + refusalConnections);
     std::array<MHD_OptionItem, 9> options{{
         {MHD_OPTION_NOTIFY_COMPLETED, reinterpret_cast<intptr_t>(&mhd_request_completed), nullptr},
         {MHD_OPTION_URI_LOG_CALLBACK,
-         reinterpret_cast<intptr_t>(&HttpFrontCallbacks::seeRequestLine), nullptr},
+         reinterpret_cast<intptr_t>(&HttpServerCallbacks::seeRequestLine), nullptr},
         {MHD_OPTION_NOTIFY_CONNECTION,
-         reinterpret_cast<intptr_t>(&HttpFrontCallbacks::countConnection), this},
+         reinterpret_cast<intptr_t>(&HttpServerCallbacks::countConnection), this},
         {MHD_OPTION_SOCK_ADDR, 0, &address},
         {MHD_OPTION_THREAD_STACK_SIZE, static_cast<intptr_t>(connectionStackBytes), nullptr},
         {MHD_OPTION_CONNECTION_LIMIT, limit, nullptr},
@@ -185,7 +185,7 @@
     return {};
 }
 
-std::uint16_t HttpFront::port() const
+std::uint16_t HttpServer::port() const
 {
     // Asked for its port, the library gives the one that it was started with.
     const MHD_DaemonInfo *info =
@@ -197,7 +197,7 @@
     return ntohs(address.sin_port);
 }
 
-void HttpFront::serve(const _u_request &request, _u_response &response)
+void HttpServer::serve(const _u_request &request, _u_response &response)
 {
     // From here on it is this process that lets the caller wait.
     setIdleTimeout(std::chrono::seconds(0));
@@ -217,7 +217,7 @@
         [&] { refuse(RequestFault::MalformedBody, response); });
 }
 
-void HttpFront::servePage(LocalPage page, _u_response &response)
+void HttpServer::servePage(LocalPage page, _u_response &response)
 {
     if (page == LocalPage::Metrics) {
         respondText(response, 200, "text/plain; version=0.0.4", m_metrics.text());
@@ -228,7 +228,7 @@
     respondText(response, isGood ? 200 : 503, "text/plain", isGood ? "ok\n" : "not ready\n");
 }
 
-void HttpFront::serveEvent(Node::Event event, _u_response &response)
+void HttpServer::serveEvent(Node::Event event, _u_response &response)
 {
     const std::shared_ptr<CallerSession> session = m_sessions.open();
     const bool isStreaming = isStreamWanted(event);
@@ -244,8 +244,8 @@
         closeSession(*session, socket);
 }
 
-void HttpFront::respondWith(const std::shared_ptr<CallerSession> &session, const SessionItem &item,
-                            bool isStreaming, _u_response &response)
+void HttpServer::respondWith(const std::shared_ptr<CallerSession> &session, const SessionItem &item,
+                             bool isStreaming, _u_response &response)
 {
     if (const auto *head = std::get_if<Node::AnswerHead>(&item))
         startAnswer(session, *head, isStreaming, response);
@@ -259,8 +259,8 @@
         respondStatus(response, *status);
 }
 
-void HttpFront::startAnswer(const std::shared_ptr<CallerSession> &session,
-                            const Node::AnswerHead &head, bool isStreaming, _u_response &response)
+void HttpServer::startAnswer(const std::shared_ptr<CallerSession> &session,
+                             const Node::AnswerHead &head, bool isStreaming, _u_response &response)
 {
     if (!isStreaming || isBodiless(head.status)) {
         assembleAnswer(session, head, response);
@@ -276,12 +276,12 @@
     if (head.isEventStream)
         setHeader(response, "Cache-Control", "no-cache");
     ulfius_set_stream_response(&response, static_cast<unsigned int>(head.status),
-                               &HttpFrontCallbacks::readStream, &HttpFrontCallbacks::freeStream,
+                               &HttpServerCallbacks::readStream, &HttpServerCallbacks::freeStream,
                                U_STREAM_SIZE_UNKNOWN, streamBlockBytes, stream.release());
 }
 
-void HttpFront::assembleAnswer(const std::shared_ptr<CallerSession> &session,
-                               const Node::AnswerHead &head, _u_response &response)
+void HttpServer::assembleAnswer(const std::shared_ptr<CallerSession> &session,
+                                const Node::AnswerHead &head, _u_response &response)
 {
     CompletionAssembler assembler;
     while (const std::optional<SessionItem> item = session->take()) {
@@ -302,7 +302,7 @@
     }
 }
 
-void HttpFront::refuse(RequestFault fault, _u_response &response)
+void HttpServer::refuse(RequestFault fault, _u_response &response)
 {
     Node::Failure failure;
     failure.message = messageOf(fault);
@@ -310,7 +310,7 @@
     respondFailure(response, statusOf(fault), typeName(fault), failure);
 }
 
-void HttpFront::refuseConnection(_u_response &response)
+void HttpServer::refuseConnection(_u_response &response)
 {
     Node::Failure failure;
     failure.type = Node::FailureType::NoCapacity;
@@ -322,13 +322,13 @@
     setHeader(response, "Connection", "close");
 }
 
-void HttpFront::closeSession(const CallerSession &session, int socket)
+void HttpServer::closeSession(const CallerSession &session, int socket)
 {
     m_watcher->unwatch(socket);
     m_sessions.close(session);
 }
 
-std::string HttpFront::nextRequestId()
+std::string HttpServer::nextRequestId()
 {
     return m_settings.requestIdPrefix + std::to_string(++m_lastRefused);
 }
--- a/src/libs/daemon/httpfront.h
+++ b/src/libs/daemon/httpfront.h
@@ -25,7 +25,7 @@
     std::string address;
 };
 
-struct HttpFrontSettings
+struct HttpServerSettings
 {
     /// "IP:PORT"; port 0 takes a free one.
     std::string address;
@@ -41,27 +41,27 @@
 /// Answers the load pattern of more callers than the process is sized for: past the limit each
 /// is told to come back, on connections that are kept free for that. Without them the library
 /// would close the connection, and a caller could not tell that from a crash.
-class HttpFront
+class HttpServer
 {
 public:
     /// Starts to listen. Fails with MalformedAddress, CannotListen or WatcherUnavailable.
-    static Base::Result<std::unique_ptr<HttpFront>>
-    create(const HttpFrontSettings &settings, CallerSessions &sessions, EventRing &ring,
+    static Base::Result<std::unique_ptr<HttpServer>>
+    create(const HttpServerSettings &settings, CallerSessions &sessions, EventRing &ring,
            const ProcessState &state, MetricsPage &metrics);
-    ~HttpFront();
+    ~HttpServer();
 
     std::uint16_t port() const;
     std::size_t openConnections() const { return m_connections; }
 
 private:
-    friend struct HttpFrontCallbacks;
-    struct Stopper
+    friend struct HttpServerCallbacks;
+    struct InstanceDeleter
     {
         void operator()(_u_instance *instance) const;
     };
 
-    HttpFront(const HttpFrontSettings &settings, CallerSessions &sessions, EventRing &ring,
-              const ProcessState &state, MetricsPage &metrics);
+    HttpServer(const HttpServerSettings &settings, CallerSessions &sessions, EventRing &ring,
+               const ProcessState &state, MetricsPage &metrics);
     Base::Result<void> start();
 
     void serve(const _u_request &request, _u_response &response);
@@ -78,7 +78,7 @@
     void closeSession(const CallerSession &session, int socket);
     std::string nextRequestId();
 
-    HttpFrontSettings m_settings;
+    HttpServerSettings m_settings;
     CallerSessions &m_sessions;
     EventRing &m_ring;
     const ProcessState &m_state;
@@ -86,7 +86,7 @@
     std::atomic<std::size_t> m_connections = 0;
     std::atomic<std::uint64_t> m_lastRefused = 0;
     std::unique_ptr<HangupWatcher> m_watcher;
-    std::unique_ptr<_u_instance, Stopper> m_instance;
+    std::unique_ptr<_u_instance, InstanceDeleter> m_instance;
 };
 
 } // namespace Daemon
--- a/tests/auto/daemon/tst_httpfront.cpp
+++ b/tests/auto/daemon/tst_httpfront.cpp
@@ -31,18 +31,18 @@
         , m_sessions(10000, m_ring)
     {
         m_state.isReady = true;
-        HttpFrontSettings settings;
+        HttpServerSettings settings;
         settings.address = "127.0.0.1:0";
         settings.connections = connections;
         settings.bodyBytes = 1000;
         settings.requestIdPrefix = "r1-1-x";
-        auto created = HttpFront::create(settings, m_sessions, m_ring, m_state, m_page);
+        auto created = HttpServer::create(settings, m_sessions, m_ring, m_state, m_page);
         REQUIRE(created);
-        m_front = std::move(*created);
+        m_httpServer = std::move(*created);
     }
 
-    std::uint16_t port() const { return m_front->port(); }
-    std::size_t openConnections() const { return m_front->openConnections(); }
+    std::uint16_t port() const { return m_httpServer->port(); }
+    std::size_t openConnections() const { return m_httpServer->openConnections(); }
     CallerSessions &sessions() { return m_sessions; }
     ProcessState &state() { return m_state; }
 
@@ -62,7 +62,7 @@
     CallerSessions m_sessions;
     ProcessState m_state;
     FixedPage m_page;
-    std::unique_ptr<HttpFront> m_front;
+    std::unique_ptr<HttpServer> m_httpServer;
 };
 
 std::string get(const std::string &path)
