--- a/src/libs/daemon/httpfront.cpp
+++ b/src/libs/daemon/httpfront.cpp
@@ -17,24 +17,24 @@
 
 /// The connection that the calling thread serves. Each connection has a thread of its own, and
 /// the library names the connection only to the callback that sees the request line.
-thread_local MHD_Connection *connectionOfThread = nullptr;
+thread_local MHD_Connection *currentConnection = nullptr;
 
 constexpr unsigned int mhdFlags =
     MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL;
 
 int currentSocket()
 {
-    if (!connectionOfThread)
+    if (!currentConnection)
         return -1;
     const MHD_ConnectionInfo *info =
-        MHD_get_connection_info(connectionOfThread, MHD_CONNECTION_INFO_CONNECTION_FD);
+        MHD_get_connection_info(currentConnection, MHD_CONNECTION_INFO_CONNECTION_FD);
     return info ? static_cast<int>(info->connect_fd) : -1;
 }
 
 void setIdleTimeout(std::chrono::seconds timeout)
 {
-    if (connectionOfThread)
-        MHD_set_connection_option(connectionOfThread, MHD_CONNECTION_OPTION_TIMEOUT,
+    if (currentConnection)
+        MHD_set_connection_option(currentConnection, MHD_CONNECTION_OPTION_TIMEOUT,
                                   static_cast<unsigned int>(timeout.count()));
 }
 
@@ -80,7 +80,7 @@
 }
 
 /// Whether answers with this status have no body.
-bool isBodiless(int status)
+bool hasNoBody(int status)
 {
     return status == 204 || status == 304;
 }
@@ -90,26 +90,26 @@
 /// The HTTP library's callbacks; plain functions that find their object.
 struct HttpServerCallbacks
 {
-    static int serve(const _u_request *request, _u_response *response, void *front)
+    static int serve(const _u_request *request, _u_response *response, void *server)
     {
-        static_cast<HttpServer *>(front)->serve(*request, *response);
+        static_cast<HttpServer *>(server)->serve(*request, *response);
         return U_CALLBACK_COMPLETE;
     }
 
-    static void *seeRequestLine(void *closure, const char *uri, MHD_Connection *connection)
+    static void *recordConnection(void *closure, const char *uri, MHD_Connection *connection)
     {
-        connectionOfThread = connection;
+        currentConnection = connection;
         setIdleTimeout(idleConnectionTimeout);
         return ulfius_uri_logger(closure, uri);
     }
 
-    static void countConnection(void *front, MHD_Connection *, void **,
+    static void countConnection(void *server, MHD_Connection *, void **,
                                 MHD_ConnectionNotificationCode code)
     {
         if (code == MHD_CONNECTION_NOTIFY_STARTED)
-            ++static_cast<HttpServer *>(front)->m_connections;
+            ++static_cast<HttpServer *>(server)->m_connections;
         else
-            --static_cast<HttpServer *>(front)->m_connections;
+            --static_cast<HttpServer *>(server)->m_connections;
     }
 
     static ssize_t readStream(void *stream, std::uint64_t, char *buf, std::size_t size)
@@ -124,11 +124,11 @@
 HttpServer::create(const HttpServerSettings &settings, CallerSessions &sessions, EventRing &ring,
                    const ProcessState &state, MetricsPage &metrics)
 {
-    std::unique_ptr<HttpServer> front(new HttpServer(settings, sessions, ring, state, metrics));
-    Base::Result<void> started = front->start();
+    std::unique_ptr<HttpServer> server(new HttpServer(settings, sessions, ring, state, metrics));
+    Base::Result<void> started = server->start();
     if (!started)
         return started.error();
-    return front;
+    return server;
 }
 
 HttpServer::HttpServer(const HttpServerSettings &settings, CallerSessions &sessions,
@@ -167,7 +167,7 @@
     std::array<MHD_OptionItem, 9> options{{
         {MHD_OPTION_NOTIFY_COMPLETED, reinterpret_cast<intptr_t>(&mhd_request_completed), nullptr},
         {MHD_OPTION_URI_LOG_CALLBACK,
-         reinterpret_cast<intptr_t>(&HttpServerCallbacks::seeRequestLine), nullptr},
+         reinterpret_cast<intptr_t>(&HttpServerCallbacks::recordConnection), nullptr},
         {MHD_OPTION_NOTIFY_CONNECTION,
          reinterpret_cast<intptr_t>(&HttpServerCallbacks::countConnection), this},
         {MHD_OPTION_SOCK_ADDR, 0, &address},
@@ -223,9 +223,9 @@
         respondText(response, 200, "text/plain; version=0.0.4", m_metrics.text());
         return;
     }
-    const bool isTaking = m_state.isReady && !m_state.isLeaving;
-    const bool isGood = page == LocalPage::Health || isTaking;
-    respondText(response, isGood ? 200 : 503, "text/plain", isGood ? "ok\n" : "not ready\n");
+    const bool isAcceptingWork = m_state.isReady && !m_state.isLeaving;
+    const bool isOk = page == LocalPage::Health || isAcceptingWork;
+    respondText(response, isOk ? 200 : 503, "text/plain", isOk ? "ok\n" : "not ready\n");
 }
 
 void HttpServer::serveEvent(Node::Event event, _u_response &response)
@@ -239,13 +239,13 @@
         session->hangUp();
     const std::optional<SessionItem> item = session->take();
     if (item)
-        respondWith(session, *item, isStreaming, response);
+        respondWithItem(session, *item, isStreaming, response);
     if (!response.stream_callback)
         closeSession(*session, socket);
 }
 
-void HttpServer::respondWith(const std::shared_ptr<CallerSession> &session, const SessionItem &item,
-                             bool isStreaming, _u_response &response)
+void HttpServer::respondWithItem(const std::shared_ptr<CallerSession> &session,
+                                 const SessionItem &item, bool isStreaming, _u_response &response)
 {
     if (const auto *head = std::get_if<Node::AnswerHead>(&item))
         startAnswer(session, *head, isStreaming, response);
@@ -262,7 +262,7 @@
 void HttpServer::startAnswer(const std::shared_ptr<CallerSession> &session,
                              const Node::AnswerHead &head, bool isStreaming, _u_response &response)
 {
-    if (!isStreaming || isBodiless(head.status)) {
+    if (!isStreaming || hasNoBody(head.status)) {
         assembleAnswer(session, head, response);
         return;
     }
@@ -330,7 +330,7 @@
 
 std::string HttpServer::nextRequestId()
 {
-    return m_settings.requestIdPrefix + std::to_string(++m_lastRefused);
+    return m_settings.requestIdPrefix + std::to_string(++m_lastRequestNumber);
 }
 
 } // namespace Daemon
