--- a/src/libs/daemon/httpfront.h
+++ b/src/libs/daemon/httpfront.h
@@ -67,8 +67,8 @@
     void serve(const _u_request &request, _u_response &response);
     void servePage(LocalPage page, _u_response &response);
     void serveEvent(Node::Event event, _u_response &response);
-    void respondWith(const std::shared_ptr<CallerSession> &session, const SessionItem &item,
-                     bool isStreaming, _u_response &response);
+    void respondWithItem(const std::shared_ptr<CallerSession> &session, const SessionItem &item,
+                         bool isStreaming, _u_response &response);
     void startAnswer(const std::shared_ptr<CallerSession> &session, const Node::AnswerHead &head,
                      bool isStreaming, _u_response &response);
     void assembleAnswer(const std::shared_ptr<CallerSession> &session, const Node::AnswerHead &head,
@@ -84,7 +84,7 @@
     const ProcessState &m_state;
     MetricsPage &m_metrics;
     std::atomic<std::size_t> m_connections = 0;
-    std::atomic<std::uint64_t> m_lastRefused = 0;
+    std::atomic<std::uint64_t> m_lastRequestNumber = 0;
     std::unique_ptr<HangupWatcher> m_watcher;
     std::unique_ptr<_u_instance, InstanceDeleter> m_instance;
 };
