--- a/src/libs/daemon/daemon.cpp
+++ b/src/libs/daemon/daemon.cpp
@@ -84,13 +84,14 @@
     pollHosts();
     BOOST_LEAF_ASSIGN(m_peerServer,
                       GrpcPeerServer::create(m_settings.host, m_settings.peerAddress, m_ring));
-    HttpServerSettings front;
-    front.address = m_settings.callerAddress;
-    front.connections = m_settings.limits.connections;
-    front.bodyBytes = m_settings.limits.bodyBytes;
-    front.requestIdPrefix = m_settings.host.value() + '-' + std::to_string(m_incarnation) + "-x";
-    BOOST_LEAF_ASSIGN(m_httpServer,
-                      HttpServer::create(front, m_sessions, m_ring, m_state, reports.metrics));
+    HttpServerSettings httpSettings;
+    httpSettings.address = m_settings.callerAddress;
+    httpSettings.connections = m_settings.limits.connections;
+    httpSettings.bodyBytes = m_settings.limits.bodyBytes;
+    httpSettings.requestIdPrefix =
+        m_settings.host.value() + '-' + std::to_string(m_incarnation) + "-x";
+    BOOST_LEAF_ASSIGN(m_httpServer, HttpServer::create(httpSettings, m_sessions, m_ring, m_state,
+                                                       reports.metrics));
     return {};
 }
 
