--- a/src/libs/daemon/corethread.cpp
+++ b/src/libs/daemon/corethread.cpp
@@ -11,12 +11,12 @@
 } // namespace
 
 CoreThread::CoreThread(std::unique_ptr<Node::Node> node, EventRing &ring, CallerSessions &sessions,
-                       ProcessState &state, NodeWatcher &watcher)
+                       ProcessState &state, NodeWatcher &sampler)
     : m_node(std::move(node))
     , m_ring(ring)
     , m_sessions(sessions)
     , m_state(state)
-    , m_watcher(watcher)
+    , m_sampler(sampler)
     , m_thread([this] { run(); })
 {}
 
@@ -68,7 +68,7 @@
     if (now < m_nextPublish)
         return;
     m_nextPublish = now + publishInterval;
-    m_watcher.nodeChanged(*m_node);
+    m_sampler.nodeChanged(*m_node);
 }
 
 } // namespace Daemon
--- a/src/libs/daemon/corethread.h
+++ b/src/libs/daemon/corethread.h
@@ -28,9 +28,9 @@
 class CoreThread
 {
 public:
-    /// Starts the thread. \a watcher is told about the node once a second.
+    /// Starts the thread. \a sampler is told about the node once a second.
     CoreThread(std::unique_ptr<Node::Node> node, EventRing &ring, CallerSessions &sessions,
-               ProcessState &state, NodeWatcher &watcher);
+               ProcessState &state, NodeWatcher &sampler);
     /// Stops at once, whatever is open.
     ~CoreThread();
 
@@ -47,7 +47,7 @@
     EventRing &m_ring;
     CallerSessions &m_sessions;
     ProcessState &m_state;
-    NodeWatcher &m_watcher;
+    NodeWatcher &m_sampler;
     Base::TimePoint m_nextPublish{};
     std::atomic<bool> m_isDrained = false;
     std::thread m_thread;
--- a/src/libs/daemon/daemon.cpp
+++ b/src/libs/daemon/daemon.cpp
@@ -26,10 +26,10 @@
 } // namespace
 
 Base::Result<std::unique_ptr<Daemon>> Daemon::create(const DaemonSettings &settings,
-                                                     const DaemonReports &reports)
+                                                     const DaemonReports &instrumentation)
 {
     std::unique_ptr<Daemon> daemon(new Daemon(settings));
-    Base::Result<void> started = daemon->start(reports);
+    Base::Result<void> started = daemon->start(instrumentation);
     if (!started)
         return started.error();
     return daemon;
@@ -72,14 +72,14 @@
     m_platform->pollHosts();
 }
 
-Base::Result<void> Daemon::start(const DaemonReports &reports)
+Base::Result<void> Daemon::start(const DaemonReports &instrumentation)
 {
     BOOST_LEAF_ASSIGN(m_peers, GrpcPeerTransport::create(m_settings.host, m_incarnation, m_ring));
     BOOST_LEAF_ASSIGN(m_backends, HttpBackendClient::create(m_ring));
     BOOST_LEAF_ASSIGN(m_platform, PlatformClient::create(m_settings.platformAddress, m_ring));
-    BOOST_LEAF_AUTO(node, createNode(reports));
-    m_core =
-        std::make_unique<CoreThread>(std::move(node), m_ring, m_sessions, m_state, reports.watcher);
+    BOOST_LEAF_AUTO(node, createNode(instrumentation));
+    m_core = std::make_unique<CoreThread>(std::move(node), m_ring, m_sessions, m_state,
+                                          instrumentation.sampler);
     seedPeers();
     pollHosts();
     BOOST_LEAF_ASSIGN(m_peerServer,
@@ -91,14 +91,15 @@
     httpSettings.requestIdPrefix =
         m_settings.host.value() + '-' + std::to_string(m_incarnation) + "-x";
     BOOST_LEAF_ASSIGN(m_httpServer, HttpServer::create(httpSettings, m_sessions, m_ring, m_state,
-                                                       reports.metrics));
+                                                       instrumentation.metrics));
     return {};
 }
 
-Base::Result<std::unique_ptr<Node::Node>> Daemon::createNode(const DaemonReports &reports)
+Base::Result<std::unique_ptr<Node::Node>> Daemon::createNode(const DaemonReports &instrumentation)
 {
-    const Node::Environment environment{m_sessions,  *m_peers,         *m_backends, *m_platform,
-                                        *m_platform, reports.observer, m_random,    m_wallClock};
+    const Node::Environment environment{m_sessions,  *m_peers,    *m_backends,
+                                        *m_platform, *m_platform, instrumentation.observer,
+                                        m_random,    m_wallClock};
     return Node::Node::create(nodeSettings(), environment);
 }
 
--- a/src/libs/daemon/daemon.h
+++ b/src/libs/daemon/daemon.h
@@ -29,7 +29,7 @@
 struct DaemonReports
 {
     Node::NodeObserver &observer;
-    NodeWatcher &watcher;
+    NodeWatcher &sampler;
     MetricsPage &metrics;
 };
 
@@ -40,7 +40,7 @@
     /// Starts to serve. Fails with MalformedAddress, CannotListen, WatcherUnavailable,
     /// ClientUnavailable or what the node's parts fail with.
     static Base::Result<std::unique_ptr<Daemon>> create(const DaemonSettings &settings,
-                                                        const DaemonReports &reports);
+                                                        const DaemonReports &instrumentation);
     ~Daemon();
 
     /// Any thread: leaves the fleet. New work is still taken while callers may hold an old
@@ -57,8 +57,8 @@
 
 private:
     explicit Daemon(const DaemonSettings &settings);
-    Base::Result<void> start(const DaemonReports &reports);
-    Base::Result<std::unique_ptr<Node::Node>> createNode(const DaemonReports &reports);
+    Base::Result<void> start(const DaemonReports &instrumentation);
+    Base::Result<std::unique_ptr<Node::Node>> createNode(const DaemonReports &instrumentation);
     Node::NodeSettings nodeSettings() const;
     void seedPeers();
 
