--- a/src/libs/daemon/corethread.cpp
+++ b/src/libs/daemon/corethread.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Base::Duration publishInterval = std::chrono::seconds(1);
+constexpr Base::Duration sampleInterval = std::chrono::seconds(1);
 
 } // namespace
 
@@ -33,8 +33,8 @@
         const Base::TimePoint due = m_node->nextDue();
         if (due <= now) {
             m_node->advance(now);
-            handleOwnEvents();
-            publish(now);
+            handleSessionEvents();
+            updateState(now);
             continue;
         }
         const std::optional<Node::Event> event = m_ring.popFor(due - now);
@@ -46,12 +46,12 @@
 void CoreThread::handle(const Node::Event &event)
 {
     m_node->handle(event, Base::Clock::now());
-    handleOwnEvents();
+    handleSessionEvents();
     m_state.isReady = m_node->isReady();
     m_isDrained = m_node->isDrained(Base::Clock::now());
 }
 
-void CoreThread::handleOwnEvents()
+void CoreThread::handleSessionEvents()
 {
     // A session that has just become full is held back before its next part is taken.
     for (std::vector<Node::Event> events = m_sessions.takeEvents(); !events.empty();
@@ -61,13 +61,13 @@
     }
 }
 
-void CoreThread::publish(Base::TimePoint now)
+void CoreThread::updateState(Base::TimePoint now)
 {
     m_state.isReady = m_node->isReady();
     m_isDrained = m_node->isDrained(Base::Clock::now());
-    if (now < m_nextPublish)
+    if (now < m_nextSample)
         return;
-    m_nextPublish = now + publishInterval;
+    m_nextSample = now + sampleInterval;
     m_sampler.nodeChanged(*m_node);
 }
 
--- a/src/libs/daemon/corethread.h
+++ b/src/libs/daemon/corethread.h
@@ -40,15 +40,15 @@
 private:
     void run();
     void handle(const Node::Event &event);
-    void handleOwnEvents();
-    void publish(Base::TimePoint now);
+    void handleSessionEvents();
+    void updateState(Base::TimePoint now);
 
     std::unique_ptr<Node::Node> m_node;
     EventRing &m_ring;
     CallerSessions &m_sessions;
     ProcessState &m_state;
     NodeWatcher &m_sampler;
-    Base::TimePoint m_nextPublish{};
+    Base::TimePoint m_nextSample{};
     std::atomic<bool> m_isDrained = false;
     std::thread m_thread;
 };
