--- a/src/libs/daemon/daemonconstants.h
+++ b/src/libs/daemon/daemonconstants.h
@@ -11,18 +11,18 @@
 inline constexpr std::size_t eventRingCapacity = 4096;
 
 /// Connections above the limit that are kept free, so that a caller past it can be told so.
-inline constexpr std::size_t refusalConnections = 64;
+inline constexpr std::size_t reservedConnections = 64;
 /// Stack of a connection's thread; 1,000 streams must fit a small host.
 inline constexpr std::size_t connectionStackBytes = 131072;
 /// A connection that neither sends nor has a request in work is closed after this time: a
 /// slow sender must not hold a connection for ever.
 inline constexpr std::chrono::seconds idleConnectionTimeout{30};
 /// Largest pieces that an answer is sent in.
-inline constexpr std::size_t streamBlockBytes = 4096;
+inline constexpr std::size_t maxStreamBlockBytes = 4096;
 /// Told to callers that are refused because too many are connected.
-inline constexpr Base::Milliseconds connectionRetryAfter{1000};
+inline constexpr Base::Milliseconds connectionLimitRetryAfter{1000};
 /// Longest header value of a caller that is passed on, in bytes.
-inline constexpr std::size_t largestHeaderBytes = 512;
+inline constexpr std::size_t maxHeaderValueBytes = 512;
 /// Bytes of a prompt that its prefix hash is made from.
 inline constexpr std::size_t prefixBytes = 1024;
 /// Rough bytes of text in a token.
--- a/src/libs/daemon/httpfront.cpp
+++ b/src/libs/daemon/httpfront.cpp
@@ -163,7 +163,7 @@
     m_instance->max_post_body_size = m_settings.bodyBytes + 1;
     ulfius_add_endpoint_by_val(m_instance.get(), "*", nullptr, "*", 0, &HttpServerCallbacks::serve,
                                this);
-    const auto limit = static_cast<intptr_t>(m_settings.connections + refusalConnections);
+    const auto limit = static_cast<intptr_t>(m_settings.connections + reservedConnections);
     std::array<MHD_OptionItem, 9> options{{
         {MHD_OPTION_NOTIFY_COMPLETED, reinterpret_cast<intptr_t>(&mhd_request_completed), nullptr},
         {MHD_OPTION_URI_LOG_CALLBACK,
@@ -277,7 +277,7 @@
         setHeader(response, "Cache-Control", "no-cache");
     ulfius_set_stream_response(&response, static_cast<unsigned int>(head.status),
                                &HttpServerCallbacks::readStream, &HttpServerCallbacks::freeStream,
-                               U_STREAM_SIZE_UNKNOWN, streamBlockBytes, stream.release());
+                               U_STREAM_SIZE_UNKNOWN, maxStreamBlockBytes, stream.release());
 }
 
 void HttpServer::assembleAnswer(const std::shared_ptr<CallerSession> &session,
@@ -315,7 +315,7 @@
     Node::Failure failure;
     failure.type = Node::FailureType::NoCapacity;
     failure.message = "too many callers are connected to this host";
-    failure.retryAfter = connectionRetryAfter;
+    failure.retryAfter = connectionLimitRetryAfter;
     failure.requestId = nextRequestId();
     respondFailure(response, failure);
     // Frees the place that is kept for the next one.
--- a/src/libs/daemon/requestparser.cpp
+++ b/src/libs/daemon/requestparser.cpp
@@ -43,7 +43,7 @@
 /// caller's choice to the router's request.
 bool isPlain(std::string_view value)
 {
-    return value.size() <= largestHeaderBytes
+    return value.size() <= maxHeaderValueBytes
            && std::all_of(value.begin(), value.end(),
                           [](char it) { return it >= ' ' && it <= '~'; });
 }
