--- a/src/libs/daemon/chatbody.cpp
+++ b/src/libs/daemon/chatbody.cpp
@@ -58,7 +58,7 @@
     chat.maxTokens =
         std::max(numberOf(json, "max_tokens"), numberOf(json, "max_completion_tokens"));
     if (!text.empty())
-        chat.prefix = Base::stableHash(std::string_view(text).substr(0, prefixBytes));
+        chat.prefix = Base::stableHash(std::string_view(text).substr(0, promptPrefixBytes));
     json["stream"] = true;
     chat.forwarded = chat.isStreaming ? body : json.dump();
     return chat;
--- a/src/libs/daemon/daemonconstants.h
+++ b/src/libs/daemon/daemonconstants.h
@@ -24,7 +24,7 @@
 /// Longest header value of a caller that is passed on, in bytes.
 inline constexpr std::size_t maxHeaderValueBytes = 512;
 /// Bytes of a prompt that its prefix hash is made from.
-inline constexpr std::size_t prefixBytes = 1024;
+inline constexpr std::size_t promptPrefixBytes = 1024;
 /// Rough bytes of text in a token.
 inline constexpr std::size_t bytesPerToken = 4;
 
