--- a/src/libs/daemon/backendtransfer.cpp
+++ b/src/libs/daemon/backendtransfer.cpp
@@ -35,7 +35,7 @@
     to.url = "http://" + from.address + from.path;
     to.body = from.body;
     to.mayReuseConnection = from.idempotencyKey.empty();
-    to.deadline = Base::Clock::now() + silenceTimeout;
+    to.deadline = Base::Clock::now() + backendIdleTimeout;
     to.headers.push_back("X-Request-Id: " + Base::toString(from.attempt.request) + '#'
                          + std::to_string(from.attempt.number));
     to.headers.push_back("Content-Type: " + from.contentType);
@@ -61,7 +61,7 @@
     , m_attempt(request.attempt)
     , m_kind(request.kind)
     , m_address(request.address)
-    , m_parser(largestEventBytes)
+    , m_parser(maxSseEventBytes)
     , m_nextIndex(request.resumeStream.empty() ? 0 : request.resumeFrom)
 {
     m_head.attempt = m_attempt;
@@ -194,7 +194,7 @@
 void BackendTransfer::extendDeadline()
 {
     if (!m_isPaused)
-        setDeadline(Base::Clock::now() + silenceTimeout);
+        setDeadline(Base::Clock::now() + backendIdleTimeout);
 }
 
 } // namespace Daemon
--- a/src/libs/daemon/daemonconstants.h
+++ b/src/libs/daemon/daemonconstants.h
@@ -30,8 +30,8 @@
 
 inline constexpr Base::Milliseconds connectTimeout{1000};
 /// A backend server that sends nothing for so long has failed.
-inline constexpr Base::Milliseconds silenceTimeout{60000};
-inline constexpr Base::Milliseconds loadTimeout{1000};
+inline constexpr Base::Milliseconds backendIdleTimeout{60000};
+inline constexpr Base::Milliseconds loadPollTimeout{1000};
 inline constexpr Base::Milliseconds cancelTimeout{2000};
 inline constexpr Base::Milliseconds platformTimeout{2000};
 inline constexpr Base::Milliseconds hostListInterval{1000};
@@ -40,7 +40,7 @@
 /// Longest time between two looks at the deadlines of transfers.
 inline constexpr Base::Milliseconds transferLoopInterval{100};
 /// Largest event of a model's stream; a longer one is taken for a broken server.
-inline constexpr std::size_t largestEventBytes = 1048576;
+inline constexpr std::size_t maxSseEventBytes = 1048576;
 /// Largest answer of the platform that is read.
 inline constexpr std::size_t largestPlatformAnswer = 16777216;
 
--- a/src/libs/daemon/httpbackendclient.cpp
+++ b/src/libs/daemon/httpbackendclient.cpp
@@ -10,8 +10,8 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t keptBackendConnections = 256;
-constexpr std::size_t largestLoadAnswer = 65536;
+constexpr std::size_t maxIdleBackendConnections = 256;
+constexpr std::size_t maxLoadAnswerBytes = 65536;
 
 std::size_t countOf(const Json &json, const char *key)
 {
@@ -24,7 +24,7 @@
 Base::Result<std::unique_ptr<HttpBackendClient>> HttpBackendClient::create(EventRing &ring)
 {
     std::unique_ptr<HttpBackendClient> client(new HttpBackendClient(ring));
-    BOOST_LEAF_ASSIGN(client->m_loop, TransferLoop::create({0, keptBackendConnections}));
+    BOOST_LEAF_ASSIGN(client->m_loop, TransferLoop::create({0, maxIdleBackendConnections}));
     return client;
 }
 
@@ -86,7 +86,7 @@
     // Closing the connection stops most servers; the order is for those that go on for a
     // caller who may come back.
     if (isNamed)
-        m_loop->add(std::make_unique<BufferedTransfer>(request, largestLoadAnswer,
+        m_loop->add(std::make_unique<BufferedTransfer>(request, maxLoadAnswerBytes,
                                                        [](const BufferedAnswer &) {}));
 }
 
@@ -96,9 +96,9 @@
         return;
     TransferRequest request;
     request.url = "http://" + address + "/load";
-    request.deadline = Base::Clock::now() + loadTimeout;
+    request.deadline = Base::Clock::now() + loadPollTimeout;
     m_loop->add(std::make_unique<BufferedTransfer>(
-        request, largestLoadAnswer,
+        request, maxLoadAnswerBytes,
         [this, server](const BufferedAnswer &answer) { takeLoad(server, answer); }));
 }
 
