--- a/src/libs/daemon/daemonconstants.h
+++ b/src/libs/daemon/daemonconstants.h
@@ -42,7 +42,7 @@
 /// Largest event of a model's stream; a longer one is taken for a broken server.
 inline constexpr std::size_t maxSseEventBytes = 1048576;
 /// Largest answer of the platform that is read.
-inline constexpr std::size_t largestPlatformAnswer = 16777216;
+inline constexpr std::size_t maxPlatformAnswerBytes = 16777216;
 
 inline constexpr Base::Milliseconds peerCallTimeout{1000};
 /// Messages that may wait for one peer. At 24 servers to a shard this is some seconds of work.
--- a/src/libs/daemon/platformclient.cpp
+++ b/src/libs/daemon/platformclient.cpp
@@ -132,7 +132,7 @@
 void PlatformClient::start(const TransferRequest &request, BufferedTransfer::Done done)
 {
     m_loop->post([this, request, done = std::move(done)] {
-        m_loop->add(std::make_unique<BufferedTransfer>(request, largestPlatformAnswer, done));
+        m_loop->add(std::make_unique<BufferedTransfer>(request, maxPlatformAnswerBytes, done));
     });
 }
 
