--- a/src/libs/daemon/daemonconstants.h
+++ b/src/libs/daemon/daemonconstants.h
@@ -48,7 +48,7 @@
 /// Messages that may wait for one peer. At 24 servers to a shard this is some seconds of work.
 inline constexpr std::size_t peerQueueCapacity = 4096;
 /// Messages in one call; keeps a batch well under gRPC's limit of 4 MiB.
-inline constexpr std::size_t messagesPerBatch = 512;
+inline constexpr std::size_t maxMessagesPerBatch = 512;
 /// HTTP/2 and gRPC framing of one call and its answer: two HEADERS frames and the trailers,
 /// indexed after the first call (about 60 bytes), two DATA frames with prefixes (28), window
 /// updates and acknowledgements (about 40).
--- a/src/libs/daemon/grpcpeertransport.cpp
+++ b/src/libs/daemon/grpcpeertransport.cpp
@@ -17,15 +17,15 @@
 
 /// A peer that comes back is found within a second; the library's own pause between tries
 /// grows to two minutes.
-constexpr int smallestReconnectMs = 100;
-constexpr int largestReconnectMs = 1000;
+constexpr int minReconnectMs = 100;
+constexpr int maxReconnectMs = 1000;
 
 std::shared_ptr<grpc::Channel> channelTo(const std::string &address)
 {
     grpc::ChannelArguments arguments;
-    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, smallestReconnectMs);
-    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, smallestReconnectMs);
-    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, largestReconnectMs);
+    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, minReconnectMs);
+    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, minReconnectMs);
+    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, maxReconnectMs);
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
     return grpc::CreateCustomChannel("ipv4:" + address, grpc::InsecureChannelCredentials(),
                                      arguments);
@@ -148,7 +148,7 @@
     Wire::startBatch(call.batch, ends);
     // The first message's kind bears the batch's own cost.
     std::size_t shared = call.batch.ByteSizeLong() + batchFramingBytes;
-    for (const Node::PeerMessage &message : peer.queue.take(messagesPerBatch)) {
+    for (const Node::PeerMessage &message : peer.queue.take(maxMessagesPerBatch)) {
         const std::size_t bytes = Wire::appendMessage(call.batch, ends, message);
         m_meter.record(Node::trafficKind(message), bytes + std::exchange(shared, 0), now);
     }
