--- a/src/libs/daemon/daemon.cpp
+++ b/src/libs/daemon/daemon.cpp
@@ -63,7 +63,7 @@
     if (!m_leavingSince)
         return false;
     const bool areListsExpired =
-        now >= *m_leavingSince + nodeSettings().entryListMaxAge + leavingMargin;
+        now >= *m_leavingSince + nodeSettings().entryListMaxAge + shutdownMargin;
     return areListsExpired && m_core->isDrained() && m_sessions.size() == 0;
 }
 
--- a/src/libs/daemon/daemonconstants.h
+++ b/src/libs/daemon/daemonconstants.h
@@ -55,6 +55,6 @@
 inline constexpr std::size_t batchFramingBytes = 128;
 
 /// Served for this long after callers' entry lists have expired.
-inline constexpr std::chrono::seconds leavingMargin{5};
+inline constexpr std::chrono::seconds shutdownMargin{5};
 
 } // namespace Daemon
