--- a/src/libs/daemon/backendtransfer.cpp
+++ b/src/libs/daemon/backendtransfer.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-bool isName(std::string_view name, std::string_view wanted)
+bool equalsIgnoringCase(std::string_view name, std::string_view wanted)
 {
     return name.size() == wanted.size()
            && strncasecmp(name.data(), wanted.data(), wanted.size()) == 0;
 }
 
-std::optional<std::uint64_t> numberOf(std::string_view text)
+std::optional<std::uint64_t> parseNumber(std::string_view text)
 {
     std::uint64_t number = 0;
     const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -28,7 +28,7 @@
     return number;
 }
 
-TransferRequest requestOf(const Node::BackendRequest &from)
+TransferRequest toTransferRequest(const Node::BackendRequest &from)
 {
     TransferRequest to;
     to.method = "POST";
@@ -54,10 +54,11 @@
 
 } // namespace
 
-BackendTransfer::BackendTransfer(const Node::BackendRequest &request, EventRing &ring, Over over)
-    : HttpTransfer(requestOf(request))
+BackendTransfer::BackendTransfer(const Node::BackendRequest &request, EventRing &ring,
+                                 FinishedHandler handler)
+    : HttpTransfer(toTransferRequest(request))
     , m_ring(ring)
-    , m_over(std::move(over))
+    , m_handler(std::move(handler))
     , m_attempt(request.attempt)
     , m_kind(request.kind)
     , m_address(request.address)
@@ -84,28 +85,28 @@
 
 void BackendTransfer::finished(CURLcode code)
 {
-    const bool isWholeBody =
+    const bool isComplete =
         code == CURLE_OK && m_kind == Node::WorkKind::ServiceCall && !m_isNotRun;
-    if (isWholeBody)
-        finishWhole();
+    if (isComplete)
+        pushFinished();
     else
-        fail();
-    m_over(*this);
+        pushFailed();
+    m_handler(*this);
 }
 
 void BackendTransfer::receiveHeader(std::string_view name, std::string_view value)
 {
     extendDeadline();
-    if (isName(name, "Content-Type"))
+    if (equalsIgnoringCase(name, "Content-Type"))
         m_head.contentType = value;
-    if (isName(name, "X-Stream-Name"))
+    if (equalsIgnoringCase(name, "X-Stream-Name"))
         m_head.streamName = value;
-    if (isName(name, "X-Not-Run"))
-        m_isNotRun = isName(value, "yes");
-    if (!isName(name, "Retry-After"))
+    if (equalsIgnoringCase(name, "X-Not-Run"))
+        m_isNotRun = equalsIgnoringCase(value, "yes");
+    if (!equalsIgnoringCase(name, "Retry-After"))
         return;
     constexpr std::uint64_t largestSeconds = 86400;
-    const std::optional<std::uint64_t> seconds = numberOf(value);
+    const std::optional<std::uint64_t> seconds = parseNumber(value);
     if (seconds && *seconds <= largestSeconds)
         m_retryAfter = std::chrono::seconds(*seconds);
 }
@@ -113,11 +114,11 @@
 bool BackendTransfer::receiveBody(std::string_view bytes)
 {
     extendDeadline();
-    if (isError())
+    if (isErrorAnswer())
         return true;
     if (m_kind == Node::WorkKind::ChatCompletion)
         return receiveEvents(bytes);
-    startHead();
+    pushHead();
     pushPart(m_nextIndex, std::string(bytes), bytes.size() / bytesPerToken);
     return true;
 }
@@ -136,27 +137,27 @@
 
 bool BackendTransfer::receiveEvent(const SseEvent &event)
 {
-    if (m_isSettled)
+    if (m_isOutcomePushed)
         return true;
     if (event.name == "error")
         return false;
     if (event.data == doneMarker) {
-        finishWhole();
+        pushFinished();
         return true;
     }
-    startHead();
-    pushPart(numberOf(event.id).value_or(m_nextIndex), event.data, chunkUnits(event.data));
+    pushHead();
+    pushPart(parseNumber(event.id).value_or(m_nextIndex), event.data, chunkUnits(event.data));
     return true;
 }
 
-bool BackendTransfer::isError() const
+bool BackendTransfer::isErrorAnswer() const
 {
     return m_isNotRun || (m_kind == Node::WorkKind::ChatCompletion && status() != 200);
 }
 
-void BackendTransfer::startHead()
+void BackendTransfer::pushHead()
 {
-    if (std::exchange(m_isHeadSent, true))
+    if (std::exchange(m_isHeadPushed, true))
         return;
     m_head.status = status();
     m_ring.push(m_head);
@@ -168,18 +169,18 @@
     m_ring.push(Node::BackendPart{m_attempt, index, std::move(payload), units});
 }
 
-void BackendTransfer::finishWhole()
+void BackendTransfer::pushFinished()
 {
-    if (m_isSettled)
+    if (m_isOutcomePushed)
         return;
-    startHead();
-    m_isSettled = true;
+    pushHead();
+    m_isOutcomePushed = true;
     m_ring.push(Node::BackendFinished{m_attempt, m_nextIndex});
 }
 
-void BackendTransfer::fail()
+void BackendTransfer::pushFailed()
 {
-    if (std::exchange(m_isSettled, true))
+    if (std::exchange(m_isOutcomePushed, true))
         return;
     Node::BackendFailed failed;
     failed.attempt = m_attempt;
--- a/src/libs/daemon/backendtransfer.h
+++ b/src/libs/daemon/backendtransfer.h
@@ -20,10 +20,10 @@
 class BackendTransfer final : public HttpTransfer
 {
 public:
-    using Over = std::function<void(const BackendTransfer &)>;
+    using FinishedHandler = std::function<void(const BackendTransfer &)>;
 
-    /// \a over is called when the transfer ends by itself.
-    BackendTransfer(const Node::BackendRequest &request, EventRing &ring, Over over);
+    /// \a handler is called when the transfer ends by itself.
+    BackendTransfer(const Node::BackendRequest &request, EventRing &ring, FinishedHandler handler);
 
     const Node::AttemptId &attempt() const { return m_attempt; }
     const std::string &address() const { return m_address; }
@@ -39,15 +39,15 @@
     bool receiveBody(std::string_view bytes) override;
     bool receiveEvents(std::string_view bytes);
     bool receiveEvent(const SseEvent &event);
-    bool isError() const;
-    void startHead();
+    bool isErrorAnswer() const;
+    void pushHead();
     void pushPart(std::uint64_t index, std::string payload, Base::ServiceUnits units);
-    void finishWhole();
-    void fail();
+    void pushFinished();
+    void pushFailed();
     void extendDeadline();
 
     EventRing &m_ring;
-    Over m_over;
+    FinishedHandler m_handler;
     Node::AttemptId m_attempt;
     Node::WorkKind m_kind;
     std::string m_address;
@@ -56,8 +56,8 @@
     std::uint64_t m_nextIndex = 0;
     std::optional<Base::Milliseconds> m_retryAfter;
     bool m_isNotRun = false;
-    bool m_isHeadSent = false;
-    bool m_isSettled = false;
+    bool m_isHeadPushed = false;
+    bool m_isOutcomePushed = false;
     bool m_isPaused = false;
 };
 
