--- a/src/libs/daemon/bufferedtransfer.h
+++ b/src/libs/daemon/bufferedtransfer.h
@@ -15,7 +15,7 @@
     int status = 0;
     std::string body;
 
-    bool isWhole() const { return code == CURLE_OK; }
+    bool isComplete() const { return code == CURLE_OK; }
 };
 
 /// A call whose answer is short and taken whole.
--- a/src/libs/daemon/httpbackendclient.cpp
+++ b/src/libs/daemon/httpbackendclient.cpp
@@ -108,7 +108,7 @@
     Node::BackendLoad load;
     load.server = server;
     const Json json = Json::parse(answer.body, nullptr, false);
-    load.isReachable = answer.isWhole() && answer.status == 200 && json.is_object();
+    load.isReachable = answer.isComplete() && answer.status == 200 && json.is_object();
     if (load.isReachable) {
         load.report.running = countOf(json, "running");
         load.report.queued = countOf(json, "queued");
--- a/src/libs/daemon/platformclient.cpp
+++ b/src/libs/daemon/platformclient.cpp
@@ -46,7 +46,7 @@
 
 PlatformVerdict verdictOf(const BufferedAnswer &answer)
 {
-    if (!answer.isWhole())
+    if (!answer.isComplete())
         return answer.isSent ? PlatformVerdict::Unknown : PlatformVerdict::NotDone;
     switch (answer.status) {
     case 200:
