--- a/src/libs/daemon/bufferedtransfer.cpp
+++ b/src/libs/daemon/bufferedtransfer.cpp
@@ -4,25 +4,25 @@
 
 namespace Daemon {
 
-BufferedTransfer::BufferedTransfer(const TransferRequest &request, std::size_t largestAnswer,
+BufferedTransfer::BufferedTransfer(const TransferRequest &request, std::size_t maxAnswerBytes,
                                    Done done)
     : HttpTransfer(request)
-    , m_largestAnswer(largestAnswer)
+    , m_maxAnswerBytes(maxAnswerBytes)
     , m_done(std::move(done))
 {}
 
 void BufferedTransfer::finished(CURLcode code)
 {
-    m_done({code, isSent(), status(), std::move(m_received)});
+    m_done({code, isSent(), status(), std::move(m_body)});
 }
 
 void BufferedTransfer::receiveHeader(std::string_view, std::string_view) {}
 
 bool BufferedTransfer::receiveBody(std::string_view bytes)
 {
-    if (m_received.size() + bytes.size() > m_largestAnswer)
+    if (m_body.size() + bytes.size() > m_maxAnswerBytes)
         return false;
-    m_received += bytes;
+    m_body += bytes;
     return true;
 }
 
--- a/src/libs/daemon/bufferedtransfer.h
+++ b/src/libs/daemon/bufferedtransfer.h
@@ -24,7 +24,7 @@
 public:
     using Done = std::function<void(const BufferedAnswer &)>;
 
-    BufferedTransfer(const TransferRequest &request, std::size_t largestAnswer, Done done);
+    BufferedTransfer(const TransferRequest &request, std::size_t maxAnswerBytes, Done done);
 
     void finished(CURLcode code) override;
 
@@ -32,9 +32,9 @@
     void receiveHeader(std::string_view name, std::string_view value) override;
     bool receiveBody(std::string_view bytes) override;
 
-    std::size_t m_largestAnswer;
+    std::size_t m_maxAnswerBytes;
     Done m_done;
-    std::string m_received;
+    std::string m_body;
 };
 
 } // namespace Daemon
