--- a/src/libs/daemon/answerstream.cpp
+++ b/src/libs/daemon/answerstream.cpp
@@ -12,7 +12,7 @@
 namespace Daemon {
 
 AnswerStream::AnswerStream(std::shared_ptr<CallerSession> session, AnswerFraming framing,
-                           Closed closed)
+                           ClosedHandler closed)
     : m_session(std::move(session))
     , m_framing(framing)
     , m_closed(std::move(closed))
@@ -25,10 +25,10 @@
 
 ssize_t AnswerStream::read(char *buf, std::size_t size)
 {
-    while (m_offset == m_pending.size() && !m_isEnded && !m_isCut)
+    while (m_offset == m_pending.size() && !m_isEnded && !m_isAborted)
         refill();
     if (m_offset == m_pending.size())
-        return m_isCut ? U_STREAM_ERROR : U_STREAM_END;
+        return m_isAborted ? U_STREAM_ERROR : U_STREAM_END;
     const std::size_t n = std::min(size, m_pending.size() - m_offset);
     std::memcpy(buf, m_pending.data() + m_offset, n);
     m_offset += n;
@@ -41,12 +41,12 @@
     m_offset = 0;
     const std::optional<SessionItem> item = m_session->take();
     if (item)
-        add(*item);
+        appendItem(*item);
     else
-        m_isCut = true;
+        m_isAborted = true;
 }
 
-void AnswerStream::add(const SessionItem &item)
+void AnswerStream::appendItem(const SessionItem &item)
 {
     const bool isEvents = m_framing == AnswerFraming::Events;
     if (const auto *part = std::get_if<Node::AnswerPart>(&item)) {
@@ -68,7 +68,7 @@
         return;
     }
     // Bytes have no place for an error: only the missing end can tell.
-    m_isCut = true;
+    m_isAborted = true;
 }
 
 } // namespace Daemon
--- a/src/libs/daemon/answerstream.h
+++ b/src/libs/daemon/answerstream.h
@@ -23,9 +23,10 @@
 class AnswerStream
 {
 public:
-    using Closed = std::function<void(const CallerSession &)>;
+    using ClosedHandler = std::function<void(const CallerSession &)>;
 
-    AnswerStream(std::shared_ptr<CallerSession> session, AnswerFraming framing, Closed closed);
+    AnswerStream(std::shared_ptr<CallerSession> session, AnswerFraming framing,
+                 ClosedHandler closed);
     ~AnswerStream();
 
     /// Waits for bytes and puts at most \a size of them at \a buf. Returns their number,
@@ -35,15 +36,15 @@
 
 private:
     void refill();
-    void add(const SessionItem &item);
+    void appendItem(const SessionItem &item);
 
     std::shared_ptr<CallerSession> m_session;
     AnswerFraming m_framing;
-    Closed m_closed;
+    ClosedHandler m_closed;
     std::string m_pending;
     std::size_t m_offset = 0;
     bool m_isEnded = false;
-    bool m_isCut = false;
+    bool m_isAborted = false;
 };
 
 } // namespace Daemon
