--- a/src/libs/daemon/callersession.cpp
+++ b/src/libs/daemon/callersession.cpp
@@ -10,7 +10,7 @@
     return part ? part->payload.size() : 0;
 }
 
-bool isLast(const SessionItem &item)
+bool isFinal(const SessionItem &item)
 {
     return !std::holds_alternative<Node::AnswerHead>(item)
            && !std::holds_alternative<Node::AnswerPart>(item);
@@ -18,9 +18,9 @@
 
 } // namespace
 
-CallerSession::CallerSession(Node::CallerId id, std::size_t bufferBytes, EventRing &ring)
+CallerSession::CallerSession(Node::CallerId id, std::size_t bufferLimit, EventRing &ring)
     : m_id(id)
-    , m_bufferBytes(bufferBytes)
+    , m_bufferLimit(bufferLimit)
     , m_ring(ring)
 {}
 
@@ -29,10 +29,10 @@
     const std::lock_guard lock(m_mutex);
     if (m_isHungUp)
         return false;
-    m_buffered += sizeOf(item);
+    m_bufferedBytes += sizeOf(item);
     m_items.push_back(std::move(item));
     m_notEmpty.notify_one();
-    if (m_isBlocked || m_buffered <= m_bufferBytes)
+    if (m_isBlocked || m_bufferedBytes <= m_bufferLimit)
         return false;
     m_isBlocked = true;
     return true;
@@ -41,7 +41,7 @@
 std::optional<SessionItem> CallerSession::take()
 {
     std::optional<SessionItem> item;
-    bool isReadyAgain = false;
+    bool isUnblocked = false;
     {
         std::unique_lock lock(m_mutex);
         m_notEmpty.wait(lock, [this] { return m_isHungUp || !m_items.empty(); });
@@ -49,14 +49,14 @@
             return std::nullopt;
         item = std::move(m_items.front());
         m_items.pop_front();
-        m_buffered -= sizeOf(*item);
-        m_isEnded = isLast(*item);
-        isReadyAgain = m_isBlocked && m_buffered <= m_bufferBytes / 2;
-        if (isReadyAgain)
+        m_bufferedBytes -= sizeOf(*item);
+        m_isEnded = isFinal(*item);
+        isUnblocked = m_isBlocked && m_bufferedBytes <= m_bufferLimit / 2;
+        if (isUnblocked)
             m_isBlocked = false;
     }
     // Outside the lock: the ring may be full, and the core must get at this session to empty it.
-    if (isReadyAgain)
+    if (isUnblocked)
         m_ring.push(Node::CallerReady{m_id});
     return item;
 }
@@ -66,7 +66,7 @@
     const std::lock_guard lock(m_mutex);
     m_isHungUp = true;
     m_items.clear();
-    m_buffered = 0;
+    m_bufferedBytes = 0;
     m_notEmpty.notify_all();
 }
 
@@ -85,7 +85,7 @@
 std::size_t CallerSession::bufferedBytes() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_buffered;
+    return m_bufferedBytes;
 }
 
 } // namespace Daemon
--- a/src/libs/daemon/callersession.h
+++ b/src/libs/daemon/callersession.h
@@ -30,7 +30,7 @@
 class CallerSession
 {
 public:
-    CallerSession(Node::CallerId id, std::size_t bufferBytes, EventRing &ring);
+    CallerSession(Node::CallerId id, std::size_t bufferLimit, EventRing &ring);
 
     Node::CallerId id() const { return m_id; }
 
@@ -49,12 +49,12 @@
 
 private:
     const Node::CallerId m_id;
-    const std::size_t m_bufferBytes;
+    const std::size_t m_bufferLimit;
     EventRing &m_ring;
     mutable std::mutex m_mutex;
     std::condition_variable m_notEmpty;
     std::deque<SessionItem> m_items;
-    std::size_t m_buffered = 0;
+    std::size_t m_bufferedBytes = 0;
     bool m_isBlocked = false;
     bool m_isHungUp = false;
     bool m_isEnded = false;
--- a/src/libs/daemon/callersessions.cpp
+++ b/src/libs/daemon/callersessions.cpp
@@ -4,14 +4,14 @@
 
 namespace Daemon {
 
-CallerSessions::CallerSessions(std::size_t bufferBytes, EventRing &ring)
-    : m_bufferBytes(bufferBytes)
+CallerSessions::CallerSessions(std::size_t bufferLimit, EventRing &ring)
+    : m_bufferLimit(bufferLimit)
     , m_ring(ring)
 {}
 
 std::shared_ptr<CallerSession> CallerSessions::open()
 {
-    auto session = std::make_shared<CallerSession>(++m_lastId, m_bufferBytes, m_ring);
+    auto session = std::make_shared<CallerSession>(++m_lastId, m_bufferLimit, m_ring);
     const std::lock_guard lock(m_mutex);
     m_sessions[session->id()] = session;
     return session;
--- a/src/libs/daemon/callersessions.h
+++ b/src/libs/daemon/callersessions.h
@@ -16,7 +16,7 @@
 class CallerSessions final : public Node::CallerPort
 {
 public:
-    CallerSessions(std::size_t bufferBytes, EventRing &ring);
+    CallerSessions(std::size_t bufferLimit, EventRing &ring);
 
     /// Connection's thread.
     std::shared_ptr<CallerSession> open();
@@ -43,7 +43,7 @@
     std::shared_ptr<CallerSession> find(Node::CallerId caller) const;
     void put(Node::CallerId caller, SessionItem item);
 
-    const std::size_t m_bufferBytes;
+    const std::size_t m_bufferLimit;
     EventRing &m_ring;
     std::atomic<Node::CallerId> m_lastId = 0;
     mutable std::mutex m_mutex;
--- a/tests/auto/daemon/tst_callersession.cpp
+++ b/tests/auto/daemon/tst_callersession.cpp
@@ -7,7 +7,7 @@
 
 using namespace Daemon;
 
-constexpr std::size_t bufferBytes = 1000;
+constexpr std::size_t bufferLimit = 1000;
 
 Node::AnswerPart part(std::size_t size)
 {
@@ -26,10 +26,10 @@
 TEST_CASE("A slow caller holds back its own stream, and no other")
 {
     EventRing ring(16);
-    CallerSessions sessions(bufferBytes, ring);
+    CallerSessions sessions(bufferLimit, ring);
     const auto slow = sessions.open();
     const auto quick = sessions.open();
-    sessions.appendAnswer(slow->id(), part(bufferBytes));
+    sessions.appendAnswer(slow->id(), part(bufferLimit));
     CHECK(sessions.takeEvents().empty());
     sessions.appendAnswer(slow->id(), part(1));
     sessions.appendAnswer(slow->id(), part(1));
@@ -46,7 +46,7 @@
 {
     rc::prop("any order of puts and takes", [] {
         EventRing ring(256);
-        CallerSession session(1, bufferBytes, ring);
+        CallerSession session(1, bufferLimit, ring);
         bool isBlocked = false;
         std::size_t items = 0;
         const int steps = *rc::gen::inRange(0, 100);
@@ -65,8 +65,8 @@
                     isBlocked = true;
                 }
             }
-            RC_ASSERT(isBlocked || session.bufferedBytes() <= bufferBytes);
-            RC_ASSERT(!isBlocked || session.bufferedBytes() > bufferBytes / 2);
+            RC_ASSERT(isBlocked || session.bufferedBytes() <= bufferLimit);
+            RC_ASSERT(!isBlocked || session.bufferedBytes() > bufferLimit / 2);
         }
     });
 }
@@ -74,7 +74,7 @@
 TEST_CASE("The node hears once that a caller has gone, and not after the whole answer")
 {
     EventRing ring(16);
-    CallerSessions sessions(bufferBytes, ring);
+    CallerSessions sessions(bufferLimit, ring);
     const auto cut = sessions.open();
     sessions.hangUp(cut->id());
     CHECK_FALSE(cut->take());
