--- a/src/libs/daemon/callersessions.cpp
+++ b/src/libs/daemon/callersessions.cpp
@@ -51,7 +51,7 @@
 
 std::vector<Node::Event> CallerSessions::takeEvents()
 {
-    return std::exchange(m_events, {});
+    return std::exchange(m_pendingEvents, {});
 }
 
 void CallerSessions::startAnswer(Node::CallerId caller, const Node::AnswerHead &head)
@@ -102,7 +102,7 @@
     if (!session)
         return;
     if (session->put(std::move(item)))
-        m_events.emplace_back(Node::CallerBlocked{caller});
+        m_pendingEvents.emplace_back(Node::CallerBlocked{caller});
 }
 
 } // namespace Daemon
--- a/src/libs/daemon/callersessions.h
+++ b/src/libs/daemon/callersessions.h
@@ -48,7 +48,7 @@
     std::atomic<Node::CallerId> m_lastId = 0;
     mutable std::mutex m_mutex;
     std::map<Node::CallerId, std::shared_ptr<CallerSession>> m_sessions;
-    std::vector<Node::Event> m_events;
+    std::vector<Node::Event> m_pendingEvents;
 };
 
 } // namespace Daemon
