--- a/src/libs/daemon/grpcpeerserver.cpp
+++ b/src/libs/daemon/grpcpeerserver.cpp
@@ -30,19 +30,19 @@
                                       const Proto::Batch *batch, Proto::Receipt *) override
     {
         grpc::ServerUnaryReactor *reactor = context->DefaultReactor();
-        const bool isTaken = boost::leaf::try_handle_all(
+        const bool isAccepted = boost::leaf::try_handle_all(
             [&]() -> Base::Result<bool> {
                 BOOST_LEAF_AUTO(decoded, Wire::decodeBatch(*batch, m_self));
-                return take(std::move(decoded));
+                return pushMessages(std::move(decoded));
             },
             [] { return false; });
-        reactor->Finish(isTaken ? grpc::Status::OK
-                                : grpc::Status(grpc::StatusCode::INVALID_ARGUMENT, "not taken"));
+        reactor->Finish(isAccepted ? grpc::Status::OK
+                                   : grpc::Status(grpc::StatusCode::INVALID_ARGUMENT, "not taken"));
         return reactor;
     }
 
 private:
-    bool take(Wire::PeerBatch batch)
+    bool pushMessages(Wire::PeerBatch batch)
     {
         for (Node::PeerMessage &message : batch.messages) {
             Node::PeerMessageArrived arrived{batch.sender, batch.incarnation, std::move(message)};
@@ -58,9 +58,9 @@
 
 } // namespace
 
-struct GrpcPeerServer::Running
+struct GrpcPeerServer::State
 {
-    Running(const Base::HostId &self, EventRing &ring)
+    State(const Base::HostId &self, EventRing &ring)
         : service(self, ring)
     {}
 
@@ -71,28 +71,28 @@
 Base::Result<std::unique_ptr<GrpcPeerServer>>
 GrpcPeerServer::create(const Base::HostId &self, const std::string &address, EventRing &ring)
 {
-    auto running = std::make_unique<Running>(self, ring);
+    auto state = std::make_unique<State>(self, ring);
     grpc::ServerBuilder builder;
     int port = 0;
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.AddListeningPort(address, grpc::InsecureServerCredentials(), &port);
-    builder.RegisterService(&running->service);
-    running->server = builder.BuildAndStart();
-    if (!running->server || port <= 0)
+    builder.RegisterService(&state->service);
+    state->server = builder.BuildAndStart();
+    if (!state->server || port <= 0)
         return boost::leaf::new_error(CannotListen{address});
     return std::unique_ptr<GrpcPeerServer>(
-        new GrpcPeerServer(std::move(running), static_cast<std::uint16_t>(port)));
+        new GrpcPeerServer(std::move(state), static_cast<std::uint16_t>(port)));
 }
 
-GrpcPeerServer::GrpcPeerServer(std::unique_ptr<Running> running, std::uint16_t port)
-    : m_running(std::move(running))
+GrpcPeerServer::GrpcPeerServer(std::unique_ptr<State> state, std::uint16_t port)
+    : m_state(std::move(state))
     , m_port(port)
 {}
 
 GrpcPeerServer::~GrpcPeerServer()
 {
-    m_running->server->Shutdown(std::chrono::system_clock::now() + stopTimeout);
-    m_running->server->Wait();
+    m_state->server->Shutdown(std::chrono::system_clock::now() + stopTimeout);
+    m_state->server->Wait();
 }
 
 } // namespace Daemon
--- a/src/libs/daemon/grpcpeerserver.h
+++ b/src/libs/daemon/grpcpeerserver.h
@@ -22,11 +22,11 @@
     std::uint16_t port() const { return m_port; }
 
 private:
-    struct Running;
+    struct State;
 
-    GrpcPeerServer(std::unique_ptr<Running> running, std::uint16_t port);
+    GrpcPeerServer(std::unique_ptr<State> state, std::uint16_t port);
 
-    std::unique_ptr<Running> m_running;
+    std::unique_ptr<State> m_state;
     std::uint16_t m_port;
 };
 
