--- a/src/libs/daemon/grpcpeertransport.cpp
+++ b/src/libs/daemon/grpcpeertransport.cpp
@@ -20,7 +20,7 @@
 constexpr int minReconnectMs = 100;
 constexpr int maxReconnectMs = 1000;
 
-std::shared_ptr<grpc::Channel> channelTo(const std::string &address)
+std::shared_ptr<grpc::Channel> createChannel(const std::string &address)
 {
     grpc::ChannelArguments arguments;
     arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, minReconnectMs);
@@ -59,7 +59,7 @@
     PeerQueue queue{peerQueueCapacity};
     /// The last call; kept when it has ended.
     std::unique_ptr<Call> call;
-    bool isCallOut = false;
+    bool isCallPending = false;
 };
 
 Base::Result<std::unique_ptr<GrpcPeerTransport>>
@@ -83,10 +83,10 @@
     std::unique_lock lock(m_mutex);
     m_isStopped = true;
     for (const auto &[host, peer] : m_peers) {
-        if (peer->isCallOut)
+        if (peer->isCallPending)
             peer->call->context.TryCancel();
     }
-    m_callEnded.wait(lock, [this] { return m_callsOut == 0; });
+    m_callEnded.wait(lock, [this] { return m_pendingCalls == 0; });
 }
 
 void GrpcPeerTransport::send(const Base::HostId &to, const std::string &address,
@@ -95,7 +95,7 @@
     const std::lock_guard lock(m_mutex);
     Peer &peer = peerFor(to, address);
     peer.queue.push(message);
-    if (!peer.isCallOut)
+    if (!peer.isCallPending)
         startCall(peer);
 }
 
@@ -122,7 +122,7 @@
         peer = std::make_unique<Peer>(to);
     if (peer->address != address) {
         peer->address = address;
-        peer->stub = Proto::Peer::NewStub(channelTo(address));
+        peer->stub = Proto::Peer::NewStub(createChannel(address));
     }
     return *peer;
 }
@@ -131,26 +131,26 @@
 {
     peer.call = std::make_unique<Call>();
     Call &call = *peer.call;
-    fill(call, peer);
+    fillBatch(call, peer);
     call.stub = peer.stub;
     call.context.set_deadline(std::chrono::system_clock::now() + peerCallTimeout);
-    peer.isCallOut = true;
-    ++m_callsOut;
+    peer.isCallPending = true;
+    ++m_pendingCalls;
     call.stub->async()->Deliver(
         &call.context, &call.batch, &call.receipt,
         [this, &peer](const grpc::Status &status) { finishCall(peer, status.ok()); });
 }
 
-void GrpcPeerTransport::fill(Call &call, Peer &peer)
+void GrpcPeerTransport::fillBatch(Call &call, Peer &peer)
 {
     const Wire::BatchEnds ends{m_self, m_incarnation, peer.host};
     const Base::TimePoint now = Base::Clock::now();
     Wire::startBatch(call.batch, ends);
     // The first message's kind bears the batch's own cost.
-    std::size_t shared = call.batch.ByteSizeLong() + batchFramingBytes;
+    std::size_t overheadBytes = call.batch.ByteSizeLong() + batchFramingBytes;
     for (const Node::PeerMessage &message : peer.queue.take(maxMessagesPerBatch)) {
         const std::size_t bytes = Wire::appendMessage(call.batch, ends, message);
-        m_meter.record(Node::trafficKind(message), bytes + std::exchange(shared, 0), now);
+        m_meter.record(Node::trafficKind(message), bytes + std::exchange(overheadBytes, 0), now);
     }
 }
 
@@ -160,10 +160,10 @@
     if (!isDelivered)
         m_ring.push(Node::PeerUnreachable{peer.host});
     const std::lock_guard lock(m_mutex);
-    peer.isCallOut = false;
+    peer.isCallPending = false;
     if (!m_isStopped && !peer.queue.isEmpty())
         startCall(peer);
-    --m_callsOut;
+    --m_pendingCalls;
     m_callEnded.notify_all();
 }
 
--- a/src/libs/daemon/grpcpeertransport.h
+++ b/src/libs/daemon/grpcpeertransport.h
@@ -41,7 +41,7 @@
                       Coordination::TrafficMeter meter);
     Peer &peerFor(const Base::HostId &to, const std::string &address);
     void startCall(Peer &peer);
-    void fill(Call &call, Peer &peer);
+    void fillBatch(Call &call, Peer &peer);
     void finishCall(Peer &peer, bool isDelivered);
 
     const Base::HostId m_self;
@@ -51,7 +51,7 @@
     std::condition_variable m_callEnded;
     std::map<Base::HostId, std::unique_ptr<Peer>> m_peers;
     Coordination::TrafficMeter m_meter;
-    std::size_t m_callsOut = 0;
+    std::size_t m_pendingCalls = 0;
     bool m_isStopped = false;
 };
 
