--- a/src/libs/daemon/hangupwatcher.h
+++ b/src/libs/daemon/hangupwatcher.h
@@ -34,11 +34,11 @@
     void unwatch(int socket);
 
 private:
-    HangupWatcher(int poll, int wake, Handler handler);
+    HangupWatcher(int epollFd, int wakeFd, Handler handler);
     void run();
 
-    int m_poll;
-    int m_wake;
+    int m_epollFd;
+    int m_wakeFd;
     Handler m_handler;
     std::thread m_thread;
 };
