--- a/src/libs/daemon/homemetrics.cpp
+++ b/src/libs/daemon/homemetrics.cpp
@@ -30,30 +30,30 @@
 void HomeMetrics::nodeChanged(const Node::Node &node)
 {
     // A shard whose home moved away must not keep its last figures.
-    clearShown();
+    resetGauges();
     for (const auto &[key, home] : node.homes().all()) {
         const Labels labels{key.first.value(), std::to_string(key.second)};
         m_fairnessGap->with(labels).set(static_cast<double>(home->fairnessGap()));
-        m_shownHomes.push_back(labels);
+        m_homeLabels.push_back(labels);
         for (const Node::ServerUse &use : home->serverUse())
-            showServer(key.first, use);
+            setServerGauges(key.first, use);
     }
 }
 
-void HomeMetrics::clearShown()
+void HomeMetrics::resetGauges()
 {
-    for (const Labels &labels : m_shownHomes)
+    for (const Labels &labels : m_homeLabels)
         m_fairnessGap->with(labels).set(0);
-    for (const Labels &labels : m_shownServers) {
+    for (const Labels &labels : m_serverLabels) {
         m_inUse->with(labels).set(0);
         m_limit->with(labels).set(0);
         m_utilisation->with(labels).set(0);
     }
-    m_shownHomes.clear();
-    m_shownServers.clear();
+    m_homeLabels.clear();
+    m_serverLabels.clear();
 }
 
-void HomeMetrics::showServer(const Base::PoolId &pool, const Node::ServerUse &use)
+void HomeMetrics::setServerGauges(const Base::PoolId &pool, const Node::ServerUse &use)
 {
     const Labels labels{pool.value(), use.server.value()};
     const auto inUse = static_cast<double>(use.inUse);
@@ -61,7 +61,7 @@
     m_inUse->with(labels).set(inUse);
     m_limit->with(labels).set(limit);
     m_utilisation->with(labels).set(limit > 0 ? inUse / limit : 0);
-    m_shownServers.push_back(labels);
+    m_serverLabels.push_back(labels);
 }
 
 } // namespace Daemon
--- a/src/libs/daemon/homemetrics.h
+++ b/src/libs/daemon/homemetrics.h
@@ -25,15 +25,15 @@
     using Labels = std::vector<std::string>;
 
     HomeMetrics(Gauges &fairnessGap, Gauges &inUse, Gauges &limit, Gauges &utilisation);
-    void clearShown();
-    void showServer(const Base::PoolId &pool, const Node::ServerUse &use);
+    void resetGauges();
+    void setServerGauges(const Base::PoolId &pool, const Node::ServerUse &use);
 
     Gauges *m_fairnessGap;
     Gauges *m_inUse;
     Gauges *m_limit;
     Gauges *m_utilisation;
-    std::vector<Labels> m_shownHomes;
-    std::vector<Labels> m_shownServers;
+    std::vector<Labels> m_homeLabels;
+    std::vector<Labels> m_serverLabels;
 };
 
 } // namespace Daemon
