--- a/src/libs/daemon/httpbackendclient.cpp
+++ b/src/libs/daemon/httpbackendclient.cpp
@@ -80,31 +80,31 @@
     request.method = "DELETE";
     request.url = "http://" + transfer->address() + "/v1/streams/" + transfer->streamName();
     request.deadline = Base::Clock::now() + cancelTimeout;
-    const bool isNamed = !transfer->streamName().empty();
+    const bool hasStreamName = !transfer->streamName().empty();
     m_transfers.erase(attempt);
     m_loop->drop(*transfer);
     // Closing the connection stops most servers; the order is for those that go on for a
     // caller who may come back.
-    if (isNamed)
+    if (hasStreamName)
         m_loop->add(std::make_unique<BufferedTransfer>(request, maxLoadAnswerBytes,
                                                        [](const BufferedAnswer &) {}));
 }
 
 void HttpBackendClient::startPoll(const Base::ServerId &server, const std::string &address)
 {
-    if (!m_polled.insert(server).second)
+    if (!m_pendingPolls.insert(server).second)
         return;
     TransferRequest request;
     request.url = "http://" + address + "/load";
     request.deadline = Base::Clock::now() + loadPollTimeout;
     m_loop->add(std::make_unique<BufferedTransfer>(
         request, maxLoadAnswerBytes,
-        [this, server](const BufferedAnswer &answer) { takeLoad(server, answer); }));
+        [this, server](const BufferedAnswer &answer) { handleLoad(server, answer); }));
 }
 
-void HttpBackendClient::takeLoad(const Base::ServerId &server, const BufferedAnswer &answer)
+void HttpBackendClient::handleLoad(const Base::ServerId &server, const BufferedAnswer &answer)
 {
-    m_polled.erase(server);
+    m_pendingPolls.erase(server);
     Node::BackendLoad load;
     load.server = server;
     const Json json = Json::parse(answer.body, nullptr, false);
--- a/src/libs/daemon/httpbackendclient.h
+++ b/src/libs/daemon/httpbackendclient.h
@@ -33,13 +33,13 @@
     void startSend(const Node::BackendRequest &request);
     void startCancel(const Node::AttemptId &attempt);
     void startPoll(const Base::ServerId &server, const std::string &address);
-    void takeLoad(const Base::ServerId &server, const BufferedAnswer &answer);
+    void handleLoad(const Base::ServerId &server, const BufferedAnswer &answer);
     BackendTransfer *find(const Node::AttemptId &attempt);
 
     EventRing &m_ring;
     /// Both on the loop's thread only.
     std::map<Node::AttemptId, BackendTransfer *> m_transfers;
-    std::set<Base::ServerId> m_polled;
+    std::set<Base::ServerId> m_pendingPolls;
     std::unique_ptr<TransferLoop> m_loop;
 };
 
