--- a/src/libs/daemon/httptransfer.cpp
+++ b/src/libs/daemon/httptransfer.cpp
@@ -17,7 +17,7 @@
 }
 
 /// The status of "HTTP/1.1 200 OK"; 0 if the line is no status line.
-int statusOfLine(std::string_view line)
+int parseStatusLine(std::string_view line)
 {
     const std::size_t blank = line.find(' ');
     if (line.rfind("HTTP/", 0) != 0 || blank == std::string_view::npos)
@@ -35,7 +35,7 @@
     {
         auto &self = *static_cast<HttpTransfer *>(transfer);
         const std::string_view line(data, size);
-        if (const int status = statusOfLine(line)) {
+        if (const int status = parseStatusLine(line)) {
             self.m_status = status;
             return size;
         }
@@ -47,11 +47,11 @@
 
     static std::size_t body(char *data, std::size_t, std::size_t size, void *transfer)
     {
-        const bool goesOn = static_cast<HttpTransfer *>(transfer)->receiveBody({data, size});
-        return goesOn ? size : 0;
+        const bool isAccepted = static_cast<HttpTransfer *>(transfer)->receiveBody({data, size});
+        return isAccepted ? size : 0;
     }
 
-    static int watchSending(CURL *, curl_infotype type, char *, std::size_t size, void *transfer)
+    static int recordSending(CURL *, curl_infotype type, char *, std::size_t size, void *transfer)
     {
         const bool isRequest = type == CURLINFO_HEADER_OUT || type == CURLINFO_DATA_OUT;
         if (isRequest && size > 0)
@@ -104,7 +104,7 @@
     curl_easy_setopt(it, CURLOPT_WRITEFUNCTION, &Callbacks::body);
     curl_easy_setopt(it, CURLOPT_WRITEDATA, this);
     curl_easy_setopt(it, CURLOPT_VERBOSE, 1L);
-    curl_easy_setopt(it, CURLOPT_DEBUGFUNCTION, &Callbacks::watchSending);
+    curl_easy_setopt(it, CURLOPT_DEBUGFUNCTION, &Callbacks::recordSending);
     curl_easy_setopt(it, CURLOPT_DEBUGDATA, this);
     curl_easy_setopt(it, CURLOPT_PREREQFUNCTION, &Callbacks::beforeSending);
     curl_easy_setopt(it, CURLOPT_PREREQDATA, this);
--- a/src/libs/daemon/httptransfer.h
+++ b/src/libs/daemon/httptransfer.h
@@ -55,19 +55,19 @@
 
 private:
     struct Callbacks;
-    struct FreeHandle
+    struct HandleDeleter
     {
         void operator()(CURL *handle) const { curl_easy_cleanup(handle); }
     };
-    struct FreeList
+    struct ListDeleter
     {
         void operator()(curl_slist *list) const { curl_slist_free_all(list); }
     };
 
     void setOptions(const TransferRequest &request);
 
-    std::unique_ptr<CURL, FreeHandle> m_handle;
-    std::unique_ptr<curl_slist, FreeList> m_headers;
+    std::unique_ptr<CURL, HandleDeleter> m_handle;
+    std::unique_ptr<curl_slist, ListDeleter> m_headers;
     std::string m_body;
     Base::TimePoint m_deadline;
     int m_status = 0;
