--- a/src/libs/daemon/platformclient.cpp
+++ b/src/libs/daemon/platformclient.cpp
@@ -10,33 +10,33 @@
 
 namespace {
 
-Storage::TableStatus tableStatus(PlatformVerdict verdict)
+Storage::TableStatus tableStatus(PlatformCallStatus status)
 {
-    switch (verdict) {
-    case PlatformVerdict::Answered:
+    switch (status) {
+    case PlatformCallStatus::Answered:
         return Storage::TableStatus::Done;
-    case PlatformVerdict::Conflict:
+    case PlatformCallStatus::Conflict:
         return Storage::TableStatus::Conflict;
-    case PlatformVerdict::NotDone:
+    case PlatformCallStatus::NotDone:
         return Storage::TableStatus::NotDone;
-    case PlatformVerdict::Missing:
-    case PlatformVerdict::Unknown:
+    case PlatformCallStatus::Missing:
+    case PlatformCallStatus::Unknown:
         break;
     }
     return Storage::TableStatus::Unknown;
 }
 
-Storage::ObjectStatus objectStatus(PlatformVerdict verdict)
+Storage::ObjectStatus objectStatus(PlatformCallStatus status)
 {
-    switch (verdict) {
-    case PlatformVerdict::Answered:
+    switch (status) {
+    case PlatformCallStatus::Answered:
         return Storage::ObjectStatus::Done;
-    case PlatformVerdict::Missing:
+    case PlatformCallStatus::Missing:
         return Storage::ObjectStatus::Missing;
-    case PlatformVerdict::NotDone:
+    case PlatformCallStatus::NotDone:
         return Storage::ObjectStatus::NotDone;
-    case PlatformVerdict::Conflict:
-    case PlatformVerdict::Unknown:
+    case PlatformCallStatus::Conflict:
+    case PlatformCallStatus::Unknown:
         break;
     }
     return Storage::ObjectStatus::Unknown;
@@ -44,23 +44,23 @@
 
 } // namespace
 
-PlatformVerdict verdictOf(const BufferedAnswer &answer)
+PlatformCallStatus callStatus(const BufferedAnswer &answer)
 {
     if (!answer.isComplete())
-        return answer.isSent ? PlatformVerdict::Unknown : PlatformVerdict::NotDone;
+        return answer.isSent ? PlatformCallStatus::Unknown : PlatformCallStatus::NotDone;
     switch (answer.status) {
     case 200:
     case 204:
-        return PlatformVerdict::Answered;
+        return PlatformCallStatus::Answered;
     case 404:
-        return PlatformVerdict::Missing;
+        return PlatformCallStatus::Missing;
     case 409:
-        return PlatformVerdict::Conflict;
+        return PlatformCallStatus::Conflict;
     case 429:
     case 503:
-        return PlatformVerdict::NotDone;
+        return PlatformCallStatus::NotDone;
     default:
-        return PlatformVerdict::Unknown;
+        return PlatformCallStatus::Unknown;
     }
 }
 
@@ -80,14 +80,15 @@
 
 void PlatformClient::read(Storage::OperationId operation, const std::string &key)
 {
-    startTable(operation, requestFor("/table/row?key=" + percentEncoded(key)));
+    startTableCall(operation, requestFor("/table/row?key=" + percentEncoded(key)));
 }
 
 void PlatformClient::scan(Storage::OperationId operation, const std::string &prefix,
                           const std::string &after, std::size_t limit)
 {
-    startTable(operation, requestFor("/table/rows?prefix=" + percentEncoded(prefix) + "&after="
-                                     + percentEncoded(after) + "&limit=" + std::to_string(limit)));
+    startTableCall(operation,
+                   requestFor("/table/rows?prefix=" + percentEncoded(prefix) + "&after="
+                              + percentEncoded(after) + "&limit=" + std::to_string(limit)));
 }
 
 void PlatformClient::transact(Storage::OperationId operation,
@@ -97,7 +98,7 @@
     request.method = "POST";
     request.headers.emplace_back("Content-Type: application/json");
     request.body = encodeWrites(writes);
-    startTable(operation, request);
+    startTableCall(operation, request);
 }
 
 void PlatformClient::put(Storage::OperationId operation, const std::string &key,
@@ -107,18 +108,22 @@
     request.method = "PUT";
     request.headers.emplace_back("Content-Type: application/octet-stream");
     request.body = value;
-    start(request, [this, operation](const BufferedAnswer &it) { takeObject(operation, it); });
+    startTransfer(request, [this, operation](const BufferedAnswer &it) {
+        handleObjectAnswer(operation, it);
+    });
 }
 
 void PlatformClient::get(Storage::OperationId operation, const std::string &key)
 {
-    start(requestFor("/objects/" + percentEncoded(key)),
-          [this, operation](const BufferedAnswer &it) { takeObject(operation, it); });
+    startTransfer(
+        requestFor("/objects/" + percentEncoded(key)),
+        [this, operation](const BufferedAnswer &it) { handleObjectAnswer(operation, it); });
 }
 
 void PlatformClient::pollHosts()
 {
-    start(requestFor("/hosts"), [this](const BufferedAnswer &it) { takeListing(it); });
+    startTransfer(requestFor("/hosts"),
+                  [this](const BufferedAnswer &it) { handleHostListing(it); });
 }
 
 TransferRequest PlatformClient::requestFor(const std::string &path) const
@@ -129,46 +134,48 @@
     return request;
 }
 
-void PlatformClient::start(const TransferRequest &request, BufferedTransfer::Done done)
+void PlatformClient::startTransfer(const TransferRequest &request, BufferedTransfer::Done done)
 {
     m_loop->post([this, request, done = std::move(done)] {
         m_loop->add(std::make_unique<BufferedTransfer>(request, maxPlatformAnswerBytes, done));
     });
 }
 
-void PlatformClient::startTable(Storage::OperationId operation, const TransferRequest &request)
+void PlatformClient::startTableCall(Storage::OperationId operation, const TransferRequest &request)
 {
-    start(request, [this, operation](const BufferedAnswer &it) { takeRows(operation, it); });
+    startTransfer(
+        request, [this, operation](const BufferedAnswer &it) { handleTableAnswer(operation, it); });
 }
 
-void PlatformClient::takeRows(Storage::OperationId operation, const BufferedAnswer &answer)
+void PlatformClient::handleTableAnswer(Storage::OperationId operation, const BufferedAnswer &answer)
 {
     Storage::TableOutcome outcome;
     outcome.operation = operation;
-    outcome.status = tableStatus(verdictOf(answer));
+    outcome.status = tableStatus(callStatus(answer));
     if (outcome.status == Storage::TableStatus::Done) {
-        const bool isRead = boost::leaf::try_handle_all(
+        const bool isDecoded = boost::leaf::try_handle_all(
             [&]() -> Base::Result<bool> {
                 BOOST_LEAF_ASSIGN(outcome.rows, decodeRows(answer.body));
                 return true;
             },
             [] { return false; });
-        if (!isRead)
+        if (!isDecoded)
             outcome.status = Storage::TableStatus::Unknown;
     }
     m_ring.push(outcome);
 }
 
-void PlatformClient::takeObject(Storage::OperationId operation, const BufferedAnswer &answer)
+void PlatformClient::handleObjectAnswer(Storage::OperationId operation,
+                                        const BufferedAnswer &answer)
 {
-    const Storage::ObjectStatus status = objectStatus(verdictOf(answer));
+    const Storage::ObjectStatus status = objectStatus(callStatus(answer));
     const bool hasValue = status == Storage::ObjectStatus::Done;
     m_ring.push(Storage::ObjectOutcome{operation, status, hasValue ? answer.body : std::string()});
 }
 
-void PlatformClient::takeListing(const BufferedAnswer &answer)
+void PlatformClient::handleHostListing(const BufferedAnswer &answer)
 {
-    if (verdictOf(answer) != PlatformVerdict::Answered)
+    if (callStatus(answer) != PlatformCallStatus::Answered)
         return;
     boost::leaf::try_handle_all(
         [&]() -> Base::Result<void> {
--- a/src/libs/daemon/platformclient.h
+++ b/src/libs/daemon/platformclient.h
@@ -13,7 +13,7 @@
 namespace Daemon {
 
 /// What a call of the platform came to, as far as HTTP goes.
-enum class PlatformVerdict {
+enum class PlatformCallStatus {
     Answered,
     Conflict,
     Missing,
@@ -21,7 +21,7 @@
     Unknown, ///< Sent, and no answer that can be trusted.
 };
 
-PlatformVerdict verdictOf(const BufferedAnswer &answer);
+PlatformCallStatus callStatus(const BufferedAnswer &answer);
 
 /// The node's way to the platform's table, object store and host list: one thread for all.
 ///
@@ -51,11 +51,11 @@
     PlatformClient(const std::string &address, EventRing &ring);
 
     TransferRequest requestFor(const std::string &path) const;
-    void start(const TransferRequest &request, BufferedTransfer::Done done);
-    void startTable(Storage::OperationId operation, const TransferRequest &request);
-    void takeRows(Storage::OperationId operation, const BufferedAnswer &answer);
-    void takeObject(Storage::OperationId operation, const BufferedAnswer &answer);
-    void takeListing(const BufferedAnswer &answer);
+    void startTransfer(const TransferRequest &request, BufferedTransfer::Done done);
+    void startTableCall(Storage::OperationId operation, const TransferRequest &request);
+    void handleTableAnswer(Storage::OperationId operation, const BufferedAnswer &answer);
+    void handleObjectAnswer(Storage::OperationId operation, const BufferedAnswer &answer);
+    void handleHostListing(const BufferedAnswer &answer);
 
     std::string m_address;
     EventRing &m_ring;
