--- a/src/libs/daemon/requestparser.cpp
+++ b/src/libs/daemon/requestparser.cpp
@@ -21,14 +21,14 @@
 constexpr std::string_view targetsPath = "/v1/targets";
 constexpr std::string_view bearerPrefix = "Bearer ";
 /// Longest deadline or start target taken; larger ones would overflow when added to a time.
-constexpr std::uint64_t largestMilliseconds = 1000ULL * 3600 * 24 * 30;
+constexpr std::uint64_t maxMilliseconds = 1000ULL * 3600 * 24 * 30;
 
-boost::leaf::error_id fault(RequestFault which)
+boost::leaf::error_id badRequest(RequestFault which)
 {
     return boost::leaf::new_error(BadRequest{which});
 }
 
-std::optional<std::uint64_t> numberOf(std::string_view text)
+std::optional<std::uint64_t> parseNumber(std::string_view text)
 {
     std::uint64_t number = 0;
     const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -41,23 +41,24 @@
 ///
 /// Guards against a value that ends its own line at the next hop and so adds headers of the
 /// caller's choice to the router's request.
-bool isPlain(std::string_view value)
+bool isPrintable(std::string_view value)
 {
     return value.size() <= maxHeaderValueBytes
            && std::all_of(value.begin(), value.end(),
                           [](char it) { return it >= ' ' && it <= '~'; });
 }
 
-bool isPlainPath(std::string_view path)
+bool isPrintablePath(std::string_view path)
 {
     return std::all_of(path.begin(), path.end(), [](char it) { return it > ' ' && it <= '~'; });
 }
 
-bool areFieldsPlain(const RequestFields &fields)
+bool areFieldsPrintable(const RequestFields &fields)
 {
-    return isPlain(fields.authorization) && isPlain(fields.contentType) && isPlain(fields.workClass)
-           && isPlain(fields.repeatable) && isPlain(fields.idempotencyKey)
-           && isPlain(fields.deadline) && isPlain(fields.traceparent) && isPlain(fields.ifMatch);
+    return isPrintable(fields.authorization) && isPrintable(fields.contentType)
+           && isPrintable(fields.workClass) && isPrintable(fields.repeatable)
+           && isPrintable(fields.idempotencyKey) && isPrintable(fields.deadline)
+           && isPrintable(fields.traceparent) && isPrintable(fields.ifMatch);
 }
 
 /// Version, trace id, parent id and flags in lower-case hex; others are not passed on.
@@ -87,15 +88,15 @@
         asked.traceparent = fields.traceparent;
     const std::string &repeatable = fields.repeatable;
     if (!repeatable.empty() && repeatable != "no" && repeatable != "yes")
-        return fault(RequestFault::MalformedHeader);
+        return badRequest(RequestFault::MalformedHeader);
     asked.isRepeatable = repeatable != "no";
     if (!asked.isRepeatable && asked.idempotencyKey.empty())
-        return fault(RequestFault::MissingIdempotencyKey);
+        return badRequest(RequestFault::MissingIdempotencyKey);
     if (fields.deadline.empty())
         return asked;
-    const std::optional<std::uint64_t> deadline = numberOf(fields.deadline);
-    if (!deadline || *deadline == 0 || *deadline > largestMilliseconds)
-        return fault(RequestFault::MalformedDeadline);
+    const std::optional<std::uint64_t> deadline = parseNumber(fields.deadline);
+    if (!deadline || *deadline == 0 || *deadline > maxMilliseconds)
+        return badRequest(RequestFault::MalformedDeadline);
     asked.deadline = Base::Milliseconds(*deadline);
     return asked;
 }
@@ -121,7 +122,7 @@
     const std::string rest = request.target.substr(servicesPath.size());
     const std::size_t slash = rest.find('/');
     if (slash == 0 || slash == std::string::npos)
-        return fault(RequestFault::UnknownPath);
+        return badRequest(RequestFault::UnknownPath);
     BOOST_LEAF_AUTO(asked, parseFields(request.fields));
     asked.kind = Node::WorkKind::ServiceCall;
     asked.target = rest.substr(0, slash);
@@ -133,27 +134,27 @@
 
 Result<ParsedRequest> parseTargetWrite(const HttpRequest &request, const std::string &name)
 {
-    std::string seen = request.fields.ifMatch;
-    if (seen.empty())
-        return fault(RequestFault::MissingVersion);
-    if (seen.size() >= 2 && seen.front() == '"' && seen.back() == '"')
-        seen = seen.substr(1, seen.size() - 2);
-    const std::optional<std::uint64_t> version = numberOf(seen);
+    std::string etag = request.fields.ifMatch;
+    if (etag.empty())
+        return badRequest(RequestFault::MissingVersion);
+    if (etag.size() >= 2 && etag.front() == '"' && etag.back() == '"')
+        etag = etag.substr(1, etag.size() - 2);
+    const std::optional<std::uint64_t> version = parseNumber(etag);
     if (!version || name.empty())
-        return fault(RequestFault::MalformedTarget);
+        return badRequest(RequestFault::MalformedTarget);
     const Json json = Json::parse(request.body, nullptr, false);
     if (!json.is_object())
-        return fault(RequestFault::MalformedBody);
+        return badRequest(RequestFault::MalformedBody);
     for (const auto &[key, value] : json.items()) {
         if (key != "startWithinMs" && key != "claim")
-            return fault(RequestFault::MalformedTarget);
+            return badRequest(RequestFault::MalformedTarget);
     }
     const auto startWithin = json.find("startWithinMs");
-    const bool isTimed = startWithin != json.end() && startWithin->is_number_unsigned()
-                         && startWithin->get<std::uint64_t>() > 0
-                         && startWithin->get<std::uint64_t>() <= largestMilliseconds;
-    if (!isTimed)
-        return fault(RequestFault::MalformedTarget);
+    const bool hasValidStart = startWithin != json.end() && startWithin->is_number_unsigned()
+                               && startWithin->get<std::uint64_t>() > 0
+                               && startWithin->get<std::uint64_t>() <= maxMilliseconds;
+    if (!hasValidStart)
+        return badRequest(RequestFault::MalformedTarget);
     Node::TargetWriteAsked asked;
     asked.seen = *version;
     asked.target.name = Base::ClassId(name);
@@ -163,7 +164,7 @@
         const bool isShare =
             claim->is_number() && claim->get<double>() > 0 && claim->get<double>() <= 1;
         if (!isShare)
-            return fault(RequestFault::MalformedTarget);
+            return badRequest(RequestFault::MalformedTarget);
         asked.target.claim = claim->get<double>();
     }
     return ParsedRequest(Node::Event(asked));
@@ -173,18 +174,18 @@
                                    ParsedRequest parsed)
 {
     if (request.method != method)
-        return fault(RequestFault::WrongMethod);
+        return badRequest(RequestFault::WrongMethod);
     return parsed;
 }
 
-Result<ParsedRequest> route(const HttpRequest &request)
+Result<ParsedRequest> parseByPath(const HttpRequest &request)
 {
     const std::string path = pathOf(request.target);
     const bool isPost = request.method == "POST";
     if (path == chatPath)
-        return isPost ? parseChat(request) : fault(RequestFault::WrongMethod);
+        return isPost ? parseChat(request) : badRequest(RequestFault::WrongMethod);
     if (path.rfind(servicesPath, 0) == 0)
-        return isPost ? parseService(request) : fault(RequestFault::WrongMethod);
+        return isPost ? parseService(request) : badRequest(RequestFault::WrongMethod);
     if (path == "/v1/entry-hosts") {
         const Base::ZoneId zone(queryValue(request.target, "zone"));
         return expectMethod(request, "GET", Node::Event(Node::EntryHostsAsked{0, zone}));
@@ -193,7 +194,7 @@
         return expectMethod(request, "GET", Node::Event(Node::TargetsAsked{}));
     if (path.rfind(std::string(targetsPath) + '/', 0) == 0) {
         if (request.method != "PUT")
-            return fault(RequestFault::WrongMethod);
+            return badRequest(RequestFault::WrongMethod);
         return parseTargetWrite(request, path.substr(targetsPath.size() + 1));
     }
     if (path == "/v1/status")
@@ -204,7 +205,7 @@
         return expectMethod(request, "GET", LocalPage::Readiness);
     if (path == "/metrics")
         return expectMethod(request, "GET", LocalPage::Metrics);
-    return fault(RequestFault::UnknownPath);
+    return badRequest(RequestFault::UnknownPath);
 }
 
 } // namespace
@@ -257,13 +258,13 @@
     return "";
 }
 
-Result<ParsedRequest> parseRequest(const HttpRequest &request, std::size_t largestBody)
+Result<ParsedRequest> parseRequest(const HttpRequest &request, std::size_t maxBodyBytes)
 {
-    if (request.body.size() > largestBody)
-        return fault(RequestFault::TooLarge);
-    if (!isPlainPath(request.target) || !areFieldsPlain(request.fields))
-        return fault(RequestFault::MalformedHeader);
-    return route(request);
+    if (request.body.size() > maxBodyBytes)
+        return badRequest(RequestFault::TooLarge);
+    if (!isPrintablePath(request.target) || !areFieldsPrintable(request.fields))
+        return badRequest(RequestFault::MalformedHeader);
+    return parseByPath(request);
 }
 
 } // namespace Daemon
--- a/src/libs/daemon/requestparser.h
+++ b/src/libs/daemon/requestparser.h
@@ -44,6 +44,6 @@
 const char *messageOf(RequestFault fault);
 
 /// Reads a caller's or an operator's request. Fails with BadRequest; any content is safe.
-Base::Result<ParsedRequest> parseRequest(const HttpRequest &request, std::size_t largestBody);
+Base::Result<ParsedRequest> parseRequest(const HttpRequest &request, std::size_t maxBodyBytes);
 
 } // namespace Daemon
