--- a/src/libs/daemon/requestparser.cpp
+++ b/src/libs/daemon/requestparser.cpp
@@ -23,9 +23,9 @@
 /// Longest deadline or start target taken; larger ones would overflow when added to a time.
 constexpr std::uint64_t maxMilliseconds = 1000ULL * 3600 * 24 * 30;
 
-boost::leaf::error_id badRequest(RequestFault which)
+boost::leaf::error_id badRequest(RequestFault fault)
 {
-    return boost::leaf::new_error(BadRequest{which});
+    return boost::leaf::new_error(BadRequest{fault});
 }
 
 std::optional<std::uint64_t> parseNumber(std::string_view text)
