--- a/tests/auto/daemon/tst_requestparser.cpp
+++ b/tests/auto/daemon/tst_requestparser.cpp
@@ -8,7 +8,7 @@
 
 using namespace Daemon;
 
-constexpr std::size_t largestBody = 4096;
+constexpr std::size_t maxBodyBytes = 4096;
 
 struct Parsed
 {
@@ -20,7 +20,7 @@
 {
     return boost::leaf::try_handle_all(
         [&]() -> Base::Result<Parsed> {
-            BOOST_LEAF_AUTO(parsed, parseRequest(request, largestBody));
+            BOOST_LEAF_AUTO(parsed, parseRequest(request, maxBodyBytes));
             return Parsed{parsed, std::nullopt};
         },
         [](const BadRequest &bad) {
@@ -114,7 +114,7 @@
     request.method = "GET";
     CHECK(parse(request).fault == RequestFault::WrongMethod);
     request = chat();
-    request.body = std::string(largestBody + 1, ' ');
+    request.body = std::string(maxBodyBytes + 1, ' ');
     CHECK(parse(request).fault == RequestFault::TooLarge);
     request.body = "{";
     CHECK(parse(request).fault == RequestFault::MalformedBody);
