--- a/src/libs/daemon/chatbody.cpp
+++ b/src/libs/daemon/chatbody.cpp
@@ -60,7 +60,7 @@
     if (!text.empty())
         chat.prefix = Base::stableHash(std::string_view(text).substr(0, promptPrefixBytes));
     json["stream"] = true;
-    chat.forwarded = chat.isStreaming ? body : json.dump();
+    chat.forwardedBody = chat.isStreaming ? body : json.dump();
     return chat;
 }
 
--- a/src/libs/daemon/chatbody.h
+++ b/src/libs/daemon/chatbody.h
@@ -16,7 +16,7 @@
     std::uint64_t maxTokens = 0;
     std::uint64_t prefix = 0;
     /// The body for the model server, which always streams.
-    std::string forwarded;
+    std::string forwardedBody;
 };
 
 /// Reads a chat completion's body. Fails with BadRequest (requestparser.h).
--- a/src/libs/daemon/requestparser.cpp
+++ b/src/libs/daemon/requestparser.cpp
@@ -109,7 +109,7 @@
     asked.target = chat.model;
     asked.path = chatPath;
     asked.contentType = "application/json";
-    asked.body = std::move(chat.forwarded);
+    asked.body = std::move(chat.forwardedBody);
     asked.isStreaming = chat.isStreaming;
     asked.promptTokens = chat.promptTokens;
     asked.maxTokens = chat.maxTokens;
