--- a/src/libs/daemon/chatbody.cpp
+++ b/src/libs/daemon/chatbody.cpp
@@ -39,9 +39,9 @@
     if (!json.is_object())
         return boost::leaf::new_error(BadRequest{RequestFault::MalformedBody});
     const auto model = json.find("model");
-    const bool isNamed =
+    const bool hasModel =
         model != json.end() && model->is_string() && !model->get<std::string>().empty();
-    if (!isNamed)
+    if (!hasModel)
         return boost::leaf::new_error(BadRequest{RequestFault::MissingModel});
     const auto messages = json.find("messages");
     if (messages == json.end() || !messages->is_array())
