--- a/src/libs/daemon/chunkunits.cpp
+++ b/src/libs/daemon/chunkunits.cpp
@@ -11,13 +11,13 @@
 using Json = nlohmann::json;
 
 /// Larger counts are taken for damage, so that sums cannot overflow.
-constexpr std::uint64_t largestCount = 100000000;
+constexpr std::uint64_t maxTokenCount = 100000000;
 
 std::uint64_t countOf(const Json &json, const char *key)
 {
     const auto it = json.find(key);
     const bool isCount = it != json.end() && it->is_number_unsigned();
-    return isCount ? std::min(it->get<std::uint64_t>(), largestCount) : 0;
+    return isCount ? std::min(it->get<std::uint64_t>(), maxTokenCount) : 0;
 }
 
 bool hasContent(const Json &choice)
