--- a/src/libs/daemon/completionassembler.cpp
+++ b/src/libs/daemon/completionassembler.cpp
@@ -9,10 +9,10 @@
     const Json json = Json::parse(chunk, nullptr, false);
     if (!json.is_object())
         return;
-    if (m_first.is_null()) {
-        m_first = json;
-        m_first.erase("choices");
-        m_first.erase("lagoonmast_tokens");
+    if (m_firstChunk.is_null()) {
+        m_firstChunk = json;
+        m_firstChunk.erase("choices");
+        m_firstChunk.erase("lagoonmast_tokens");
     }
     const auto usage = json.find("usage");
     if (usage != json.end() && usage->is_object())
@@ -26,7 +26,7 @@
 
 std::string CompletionAssembler::completion() const
 {
-    Json json = m_first.is_object() ? m_first : Json::object();
+    Json json = m_firstChunk.is_object() ? m_firstChunk : Json::object();
     json["object"] = "chat.completion";
     Json &choices = json["choices"] = Json::array();
     for (const auto &[index, choice] : m_choices)
@@ -43,8 +43,8 @@
     if (!choice.is_object())
         return;
     const auto index = choice.find("index");
-    const bool isNumbered = index != choice.end() && index->is_number_unsigned();
-    Choice &assembled = m_choices[isNumbered ? index->get<std::uint64_t>() : 0];
+    const bool hasIndex = index != choice.end() && index->is_number_unsigned();
+    Choice &assembled = m_choices[hasIndex ? index->get<std::uint64_t>() : 0];
     const auto reason = choice.find("finish_reason");
     if (reason != choice.end() && !reason->is_null())
         assembled.finishReason = *reason;
--- a/src/libs/daemon/completionassembler.h
+++ b/src/libs/daemon/completionassembler.h
@@ -27,7 +27,7 @@
 
     void addChoice(const nlohmann::json &choice);
 
-    nlohmann::json m_first;
+    nlohmann::json m_firstChunk;
     nlohmann::json m_usage;
     std::map<std::uint64_t, Choice> m_choices;
 };
