--- a/src/libs/daemon/backendtransfer.cpp
+++ b/src/libs/daemon/backendtransfer.cpp
@@ -105,9 +105,9 @@
         m_isNotRun = equalsIgnoringCase(value, "yes");
     if (!equalsIgnoringCase(name, "Retry-After"))
         return;
-    constexpr std::uint64_t largestSeconds = 86400;
+    constexpr std::uint64_t maxRetryAfterSeconds = 86400;
     const std::optional<std::uint64_t> seconds = parseNumber(value);
-    if (seconds && *seconds <= largestSeconds)
+    if (seconds && *seconds <= maxRetryAfterSeconds)
         m_retryAfter = std::chrono::seconds(*seconds);
 }
 
