--- a/src/libs/daemon/sseparser.cpp
+++ b/src/libs/daemon/sseparser.cpp
@@ -4,30 +4,30 @@
 
 namespace Daemon {
 
-SseParser::SseParser(std::size_t largestEvent)
-    : m_largestEvent(largestEvent)
+SseParser::SseParser(std::size_t maxEventBytes)
+    : m_maxEventBytes(maxEventBytes)
 {}
 
 Base::Result<void> SseParser::feed(std::string_view bytes, std::vector<SseEvent> &events)
 {
     for (const char it : bytes) {
         // CR, LF and CRLF each end one line; the halves of a CRLF may come apart.
-        const bool isSecondHalf = it == '\n' && m_wasReturn;
-        m_wasReturn = it == '\r';
-        if (isSecondHalf)
+        const bool isCrlfLineFeed = it == '\n' && m_wasCarriageReturn;
+        m_wasCarriageReturn = it == '\r';
+        if (isCrlfLineFeed)
             continue;
         if (it == '\n' || it == '\r') {
-            takeLine(events);
+            processLine(events);
             continue;
         }
         m_line += it;
-        if (m_line.size() + m_event.data.size() > m_largestEvent)
-            return boost::leaf::new_error(EventTooLarge{m_largestEvent});
+        if (m_line.size() + m_event.data.size() > m_maxEventBytes)
+            return boost::leaf::new_error(EventTooLarge{m_maxEventBytes});
     }
     return {};
 }
 
-void SseParser::takeLine(std::vector<SseEvent> &events)
+void SseParser::processLine(std::vector<SseEvent> &events)
 {
     const std::string line = std::exchange(m_line, {});
     if (line.empty()) {
--- a/src/libs/daemon/sseparser.h
+++ b/src/libs/daemon/sseparser.h
@@ -28,20 +28,20 @@
 class SseParser
 {
 public:
-    explicit SseParser(std::size_t largestEvent);
+    explicit SseParser(std::size_t maxEventBytes);
 
     /// Adds the events that \a bytes completes to \a events. Fails with EventTooLarge; the
     /// parser is then of no further use. Any bytes are safe.
     Base::Result<void> feed(std::string_view bytes, std::vector<SseEvent> &events);
 
 private:
-    void takeLine(std::vector<SseEvent> &events);
+    void processLine(std::vector<SseEvent> &events);
 
-    std::size_t m_largestEvent;
+    std::size_t m_maxEventBytes;
     std::string m_line;
     SseEvent m_event;
     bool m_hasData = false;
-    bool m_wasReturn = false;
+    bool m_wasCarriageReturn = false;
 };
 
 } // namespace Daemon
