--- a/src/libs/daemon/transferloop.cpp
+++ b/src/libs/daemon/transferloop.cpp
@@ -13,10 +13,10 @@
     if (!multi)
         return boost::leaf::new_error(ClientUnavailable{});
     curl_multi_setopt(multi, CURLMOPT_PIPELINING, CURLPIPE_NOTHING);
-    curl_multi_setopt(multi, CURLMOPT_MAXCONNECTS, static_cast<long>(settings.keptConnections));
-    if (settings.connections > 0)
+    curl_multi_setopt(multi, CURLMOPT_MAXCONNECTS, static_cast<long>(settings.maxIdleConnections));
+    if (settings.maxConnections > 0)
         curl_multi_setopt(multi, CURLMOPT_MAX_TOTAL_CONNECTIONS,
-                          static_cast<long>(settings.connections));
+                          static_cast<long>(settings.maxConnections));
     return std::unique_ptr<TransferLoop>(new TransferLoop(multi));
 }
 
@@ -69,7 +69,7 @@
     while (runTasks()) {
         int running = 0;
         curl_multi_perform(m_multi, &running);
-        takeFinished();
+        processFinished();
         expire(Base::Clock::now());
         curl_multi_poll(m_multi, nullptr, 0, static_cast<int>(transferLoopInterval.count()),
                         nullptr);
@@ -90,7 +90,7 @@
     return true;
 }
 
-void TransferLoop::takeFinished()
+void TransferLoop::processFinished()
 {
     int waiting = 0;
     while (const CURLMsg *message = curl_multi_info_read(m_multi, &waiting)) {
--- a/src/libs/daemon/transferloop.h
+++ b/src/libs/daemon/transferloop.h
@@ -19,9 +19,9 @@
 struct TransferLoopSettings
 {
     /// Connections open at a time; 0 is no bound. Further transfers wait for one.
-    std::size_t connections = 0;
+    std::size_t maxConnections = 0;
     /// Idle connections kept for the next transfer.
-    std::size_t keptConnections = 64;
+    std::size_t maxIdleConnections = 64;
 };
 
 /// One thread that runs any number of HTTP transfers.
@@ -52,7 +52,7 @@
     explicit TransferLoop(CURLM *multi);
     void run();
     bool runTasks();
-    void takeFinished();
+    void processFinished();
     void expire(Base::TimePoint now);
     void finish(CURL *handle, CURLcode code);
     std::unique_ptr<HttpTransfer> remove(CURL *handle);
