--- a/tests/auto/daemon/tst_sseparser.cpp
+++ b/tests/auto/daemon/tst_sseparser.cpp
@@ -8,11 +8,11 @@
 
 using namespace Daemon;
 
-constexpr std::size_t largest = 100000;
+constexpr std::size_t maxEventBytes = 100000;
 
 std::vector<SseEvent> parse(const std::vector<std::string> &pieces)
 {
-    SseParser parser(largest);
+    SseParser parser(maxEventBytes);
     std::vector<SseEvent> events;
     for (const std::string &piece : pieces)
         REQUIRE(parser.feed(piece, events));
