--- a/tests/auto/daemon/tst_backendclient.cpp
+++ b/tests/auto/daemon/tst_backendclient.cpp
@@ -37,10 +37,10 @@
 }
 
 /// A client and what it tells the node.
-class Bench
+class Fixture
 {
 public:
-    explicit Bench(std::size_t ringCapacity = 64)
+    explicit Fixture(std::size_t ringCapacity = 64)
         : m_ring(ringCapacity)
     {
         auto created = HttpBackendClient::create(m_ring);
@@ -74,9 +74,9 @@
 
 Node::BackendFailed failureAt(const std::string &address)
 {
-    Bench bench;
-    bench.client().send(requestTo(address));
-    return bench.expect<Node::BackendFailed>();
+    Fixture fixture;
+    fixture.client().send(requestTo(address));
+    return fixture.expect<Node::BackendFailed>();
 }
 
 Node::BackendFailed failureWith(const ScriptedServer::Script &script)
@@ -105,18 +105,18 @@
                  + "id: 2\ndata: {\"lagoonmast_tokens\":5,\"usage\":{\"prompt_tokens\":9}}\n\n"
                    "data: [DONE]\n\n");
     });
-    Bench bench;
+    Fixture fixture;
     Node::BackendRequest request = requestTo(server.address());
     request.idempotencyKey = "key";
     request.fence = 4;
     request.resumeStream = "old";
     request.resumeFrom = 0;
-    bench.client().send(request);
-    CHECK(bench.expect<Node::BackendHead>().streamName == "s1");
-    CHECK(bench.expect<Node::BackendPart>().units == 4);
-    CHECK(bench.expect<Node::BackendPart>().index == 1);
-    CHECK(bench.expect<Node::BackendPart>().units == 5 * 4 + 9);
-    CHECK(bench.expect<Node::BackendFinished>().parts == 3);
+    fixture.client().send(request);
+    CHECK(fixture.expect<Node::BackendHead>().streamName == "s1");
+    CHECK(fixture.expect<Node::BackendPart>().units == 4);
+    CHECK(fixture.expect<Node::BackendPart>().index == 1);
+    CHECK(fixture.expect<Node::BackendPart>().units == 5 * 4 + 9);
+    CHECK(fixture.expect<Node::BackendFinished>().parts == 3);
     for (const char *header : {"X-Request-Id: r1-7-3#1", "Idempotency-Key: key", "X-Fence: 4",
                                "X-Resume-Stream: old", "X-Resume-From: 0"})
         CHECK(seen.find(header) != std::string::npos);
@@ -166,11 +166,11 @@
             it.readRequest();
             it.write(chatHead + event(0, "a") + rest);
         });
-        Bench bench;
-        bench.client().send(requestTo(server.address()));
-        bench.expect<Node::BackendHead>();
-        bench.expect<Node::BackendPart>();
-        return bench.expect<Node::BackendFailed>().sent == SendState::MaybeRan;
+        Fixture fixture;
+        fixture.client().send(requestTo(server.address()));
+        fixture.expect<Node::BackendHead>();
+        fixture.expect<Node::BackendPart>();
+        return fixture.expect<Node::BackendFailed>().sent == SendState::MaybeRan;
     };
     CHECK(failsAfterOne(""));
     CHECK(failsAfterOne("id: 1\ndata: {\"cho"));
@@ -198,11 +198,11 @@
             return;
         }
     });
-    Bench bench;
-    bench.client().pollLoad(Base::ServerId("m1"), server.address());
-    CHECK(bench.expect<Node::BackendLoad>().report.running == 1);
-    bench.client().send(requestTo(server.address()));
-    CHECK(bench.expect<Node::BackendFailed>().sent == SendState::MaybeRan);
+    Fixture fixture;
+    fixture.client().pollLoad(Base::ServerId("m1"), server.address());
+    CHECK(fixture.expect<Node::BackendLoad>().report.running == 1);
+    fixture.client().send(requestTo(server.address()));
+    CHECK(fixture.expect<Node::BackendFailed>().sent == SendState::MaybeRan);
     CHECK(calls == 1);
 }
 
@@ -212,41 +212,41 @@
         while (!it.readRequest().empty())
             it.write(fixedAnswer("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n", "ok"));
     });
-    Bench bench;
-    bench.client().pollLoad(Base::ServerId("m1"), server.address());
-    bench.expect<Node::BackendLoad>();
+    Fixture fixture;
+    fixture.client().pollLoad(Base::ServerId("m1"), server.address());
+    fixture.expect<Node::BackendLoad>();
     Node::BackendRequest request = requestTo(server.address());
     request.kind = Node::WorkKind::ServiceCall;
     request.idempotencyKey = "key";
-    bench.client().send(request);
-    CHECK(bench.expect<Node::BackendHead>().contentType == "text/plain");
-    CHECK(bench.expect<Node::BackendPart>().payload == "ok");
-    CHECK(bench.expect<Node::BackendFinished>().parts == 1);
+    fixture.client().send(request);
+    CHECK(fixture.expect<Node::BackendHead>().contentType == "text/plain");
+    CHECK(fixture.expect<Node::BackendPart>().payload == "ok");
+    CHECK(fixture.expect<Node::BackendFinished>().parts == 1);
     CHECK(server.connections() == 2);
 }
 
 TEST_CASE("A service's error is its answer, unless it says that it did not run")
 {
-    Bench bench;
+    Fixture fixture;
     const auto callAt = [&](const ScriptedServer &server) {
         Node::BackendRequest request = requestTo(server.address());
         request.kind = Node::WorkKind::ServiceCall;
-        bench.client().send(request);
+        fixture.client().send(request);
     };
     const ScriptedServer failing([](ScriptedConnection &it) {
         it.readRequest();
         it.write(fixedAnswer("HTTP/1.1 422 No\r\n", "why"));
     });
     callAt(failing);
-    CHECK(bench.expect<Node::BackendHead>().status == 422);
-    CHECK(bench.expect<Node::BackendPart>().payload == "why");
-    bench.expect<Node::BackendFinished>();
+    CHECK(fixture.expect<Node::BackendHead>().status == 422);
+    CHECK(fixture.expect<Node::BackendPart>().payload == "why");
+    fixture.expect<Node::BackendFinished>();
     const ScriptedServer refusing([](ScriptedConnection &it) {
         it.readRequest();
         it.write(fixedAnswer("HTTP/1.1 409 No\r\nX-Not-Run: yes\r\n", "old fence"));
     });
     callAt(refusing);
-    CHECK(bench.expect<Node::BackendFailed>().sent == SendState::Refused);
+    CHECK(fixture.expect<Node::BackendFailed>().sent == SendState::Refused);
 }
 
 TEST_CASE("A cancelled stream is closed, ordered to stop, and not heard of again")
@@ -263,17 +263,17 @@
         it.waitForClose();
         orders.push("closed");
     });
-    Bench bench;
+    Fixture fixture;
     const Node::BackendRequest request = requestTo(server.address());
-    bench.client().send(request);
-    bench.expect<Node::BackendHead>();
-    bench.expect<Node::BackendPart>();
-    bench.client().cancel(request.attempt);
+    fixture.client().send(request);
+    fixture.expect<Node::BackendHead>();
+    fixture.expect<Node::BackendPart>();
+    fixture.client().cancel(request.attempt);
     std::set<std::string> seen;
     for (int i = 0; i < 2; ++i)
         seen.insert(orders.popFor(std::chrono::seconds(20)).value_or("none"));
     CHECK(seen == std::set<std::string>{"DELETE /v1/streams/s1 HTTP/1.1", "closed"});
-    CHECK(bench.ring().size() == 0);
+    CHECK(fixture.ring().size() == 0);
 }
 
 // What a user would see: the process of everybody grows until it dies. Order: a caller stops
@@ -291,38 +291,38 @@
     });
     // Nothing but the pause holds the client back.
     constexpr std::size_t plenty = 16000;
-    Bench bench(plenty);
+    Fixture fixture(plenty);
     const Node::BackendRequest request = requestTo(server.address());
-    bench.client().send(request);
-    bench.expect<Node::BackendHead>();
-    bench.expect<Node::BackendPart>();
-    bench.client().pause(request.attempt);
+    fixture.client().send(request);
+    fixture.expect<Node::BackendHead>();
+    fixture.expect<Node::BackendPart>();
+    fixture.client().pause(request.attempt);
     // The loop runs its tasks in order: once the poll is answered, the stream is paused. Parts
     // that were on their way come before the answer.
-    bench.client().pollLoad(Base::ServerId("m2"), deadAddress());
+    fixture.client().pollLoad(Base::ServerId("m2"), deadAddress());
     int parts = 1;
-    while (std::holds_alternative<Node::BackendPart>(bench.next()))
+    while (std::holds_alternative<Node::BackendPart>(fixture.next()))
         ++parts;
     REQUIRE(parts < events);
     // Another stream of the same length comes whole meanwhile, and not a part of this one.
     Node::BackendRequest other = request;
     other.attempt.number = 2;
-    bench.client().send(other);
-    for (bool isWhole = false; !isWhole;) {
-        const Node::Event event = bench.next();
+    fixture.client().send(other);
+    for (bool isComplete = false; !isComplete;) {
+        const Node::Event event = fixture.next();
         if (const auto *part = std::get_if<Node::BackendPart>(&event))
             REQUIRE(part->attempt == other.attempt);
-        isWhole = std::holds_alternative<Node::BackendFinished>(event);
+        isComplete = std::holds_alternative<Node::BackendFinished>(event);
     }
-    bench.client().resume(request.attempt);
+    fixture.client().resume(request.attempt);
     for (; parts < events; ++parts)
-        CHECK(bench.expect<Node::BackendPart>().index == static_cast<std::uint64_t>(parts));
-    CHECK(bench.expect<Node::BackendFinished>().parts == events);
+        CHECK(fixture.expect<Node::BackendPart>().index == static_cast<std::uint64_t>(parts));
+    CHECK(fixture.expect<Node::BackendFinished>().parts == events);
 }
 
 TEST_CASE("A server that cannot be reached is told so")
 {
-    Bench bench;
-    bench.client().pollLoad(Base::ServerId("m1"), deadAddress());
-    CHECK_FALSE(bench.expect<Node::BackendLoad>().isReachable);
+    Fixture fixture;
+    fixture.client().pollLoad(Base::ServerId("m1"), deadAddress());
+    CHECK_FALSE(fixture.expect<Node::BackendLoad>().isReachable);
 }
--- a/tests/auto/daemon/tst_httpfront.cpp
+++ b/tests/auto/daemon/tst_httpfront.cpp
@@ -23,10 +23,10 @@
 };
 
 /// An HTTP front whose core is the test: it takes the events and says what comes of them.
-class Bench
+class Fixture
 {
 public:
-    explicit Bench(std::size_t connections = 100)
+    explicit Fixture(std::size_t connections = 100)
         : m_ring(256)
         , m_sessions(10000, m_ring)
     {
@@ -121,34 +121,35 @@
 
 TEST_CASE("A stream goes out as events and ends with its mark")
 {
-    Bench bench;
-    const int socket = connectTo(bench.port());
+    Fixture fixture;
+    const int socket = connectTo(fixture.port());
     writeTo(socket, chat(true));
-    const auto asked = bench.expect<Node::CallerRequest>();
+    const auto asked = fixture.expect<Node::CallerRequest>();
     CHECK(asked.target == "m");
-    bench.sessions().startAnswer(asked.caller, chatHead);
-    bench.sessions().appendAnswer(asked.caller, chunk("a"));
+    fixture.sessions().startAnswer(asked.caller, chatHead);
+    fixture.sessions().appendAnswer(asked.caller, chunk("a"));
     const std::string begin = readFrom(socket, "}]}");
     CHECK(begin.find("X-Request-Id: r1-1-1") != std::string::npos);
     CHECK(begin.find("[DONE]") == std::string::npos);
-    bench.sessions().appendAnswer(asked.caller, chunk("b"));
-    bench.sessions().finishAnswer(asked.caller);
+    fixture.sessions().appendAnswer(asked.caller, chunk("b"));
+    fixture.sessions().finishAnswer(asked.caller);
     CHECK(readFrom(socket).find("data: [DONE]\n\n") != std::string::npos);
     ::close(socket);
-    CHECK(bench.isQuiet());
+    CHECK(fixture.isQuiet());
 }
 
 TEST_CASE("A caller that wants no stream gets one completion")
 {
-    Bench bench;
-    const int socket = connectTo(bench.port());
+    Fixture fixture;
+    const int socket = connectTo(fixture.port());
     writeTo(socket, chat(false));
-    const auto asked = bench.expect<Node::CallerRequest>();
-    bench.sessions().startAnswer(asked.caller, chatHead);
-    bench.sessions().appendAnswer(asked.caller, chunk("a"));
-    bench.sessions().appendAnswer(asked.caller, chunk("b"));
-    bench.sessions().appendAnswer(asked.caller, {R"({"choices":[],"usage":{"prompt_tokens":3}})"});
-    bench.sessions().finishAnswer(asked.caller);
+    const auto asked = fixture.expect<Node::CallerRequest>();
+    fixture.sessions().startAnswer(asked.caller, chatHead);
+    fixture.sessions().appendAnswer(asked.caller, chunk("a"));
+    fixture.sessions().appendAnswer(asked.caller, chunk("b"));
+    fixture.sessions().appendAnswer(asked.caller,
+                                    {R"({"choices":[],"usage":{"prompt_tokens":3}})"});
+    fixture.sessions().finishAnswer(asked.caller);
     const Json json = Json::parse(bodyOf(readFrom(socket)), nullptr, false);
     ::close(socket);
     REQUIRE(json.is_object());
@@ -159,14 +160,14 @@
 
 TEST_CASE("A failure shows, before and after the answer has begun")
 {
-    Bench bench;
+    Fixture fixture;
     const auto answerOf = [&](bool isStreaming, bool isBegun) {
-        const int socket = connectTo(bench.port());
+        const int socket = connectTo(fixture.port());
         writeTo(socket, chat(isStreaming));
-        const auto asked = bench.expect<Node::CallerRequest>();
+        const auto asked = fixture.expect<Node::CallerRequest>();
         if (isBegun)
-            bench.sessions().startAnswer(asked.caller, chatHead);
-        bench.sessions().fail(asked.caller, failure());
+            fixture.sessions().startAnswer(asked.caller, chatHead);
+        fixture.sessions().fail(asked.caller, failure());
         std::string answer = readFrom(socket);
         ::close(socket);
         return answer;
@@ -188,19 +189,19 @@
 // begun, its server dies. Cause: a body that just ends looks complete.
 TEST_CASE("A service's answer that is cut has no proper end")
 {
-    Bench bench;
-    const auto answerOf = [&](bool isWhole) {
-        const int socket = connectTo(bench.port());
+    Fixture fixture;
+    const auto answerOf = [&](bool isComplete) {
+        const int socket = connectTo(fixture.port());
         writeTo(socket, post("/v1/services/deposits/hold?a=b", "x"));
-        const auto asked = bench.expect<Node::CallerRequest>();
+        const auto asked = fixture.expect<Node::CallerRequest>();
         CHECK(asked.target == "deposits");
         CHECK(asked.path == "/hold?a=b");
-        bench.sessions().startAnswer(asked.caller, {"id", 201, "text/plain", false});
-        bench.sessions().appendAnswer(asked.caller, {"half"});
-        if (isWhole)
-            bench.sessions().finishAnswer(asked.caller);
+        fixture.sessions().startAnswer(asked.caller, {"id", 201, "text/plain", false});
+        fixture.sessions().appendAnswer(asked.caller, {"half"});
+        if (isComplete)
+            fixture.sessions().finishAnswer(asked.caller);
         else
-            bench.sessions().fail(asked.caller, failure());
+            fixture.sessions().fail(asked.caller, failure());
         std::string answer = readFrom(socket);
         ::close(socket);
         return answer;
@@ -214,18 +215,18 @@
 // waits in the queue or in its stream, and hangs up. Cause: nobody looks at its connection.
 TEST_CASE("A caller that hangs up is noticed while it waits and while it is served")
 {
-    Bench bench;
+    Fixture fixture;
     const bool isStreaming = GENERATE(true, false);
     const bool isBegun = GENERATE(true, false);
-    const int socket = connectTo(bench.port());
+    const int socket = connectTo(fixture.port());
     writeTo(socket, chat(isStreaming));
-    const auto asked = bench.expect<Node::CallerRequest>();
+    const auto asked = fixture.expect<Node::CallerRequest>();
     if (isBegun) {
-        bench.sessions().startAnswer(asked.caller, chatHead);
-        bench.sessions().appendAnswer(asked.caller, chunk("a"));
+        fixture.sessions().startAnswer(asked.caller, chatHead);
+        fixture.sessions().appendAnswer(asked.caller, chunk("a"));
     }
     ::close(socket);
-    CHECK(bench.expect<Node::CallerGone>().caller == asked.caller);
+    CHECK(fixture.expect<Node::CallerGone>().caller == asked.caller);
 }
 
 // What a user would see: one caller that does not read makes the process grow, or stops others.
@@ -233,28 +234,28 @@
 // thread for all.
 TEST_CASE("A caller that does not read is held back alone")
 {
-    Bench bench;
-    const int slow = connectTo(bench.port());
+    Fixture fixture;
+    const int slow = connectTo(fixture.port());
     writeTo(slow, chat(true));
-    const auto asked = bench.expect<Node::CallerRequest>();
-    bench.sessions().startAnswer(asked.caller, chatHead);
+    const auto asked = fixture.expect<Node::CallerRequest>();
+    fixture.sessions().startAnswer(asked.caller, chatHead);
     std::vector<Node::Event> own;
     std::size_t sent = 0;
     // The system's own buffers take some megabytes first.
     constexpr std::size_t plenty = 100000000;
     while (own.empty() && sent < plenty) {
-        bench.sessions().appendAnswer(asked.caller, chunk(std::string(1000, 'x')));
+        fixture.sessions().appendAnswer(asked.caller, chunk(std::string(1000, 'x')));
         sent += 1000;
-        own = bench.sessions().takeEvents();
+        own = fixture.sessions().takeEvents();
     }
     REQUIRE(own.size() == 1);
     CHECK(std::get<Node::CallerBlocked>(own.front()).caller == asked.caller);
 
-    CHECK(statusOf(exchange(bench.port(), get("/healthz"))) == 200);
-    bench.sessions().finishAnswer(asked.caller);
+    CHECK(statusOf(exchange(fixture.port(), get("/healthz"))) == 200);
+    fixture.sessions().finishAnswer(asked.caller);
     CHECK(readFrom(slow).find("[DONE]") != std::string::npos);
     ::close(slow);
-    CHECK(bench.expect<Node::CallerReady>().caller == asked.caller);
+    CHECK(fixture.expect<Node::CallerReady>().caller == asked.caller);
 }
 
 // What a user would see: a closed connection, as if the process had died. Order: more callers
@@ -262,23 +263,23 @@
 TEST_CASE("Past the limit each caller is told to come back")
 {
     constexpr std::size_t limit = 5;
-    Bench bench(limit);
+    Fixture fixture(limit);
     std::map<Node::CallerId, int> open;
     for (std::size_t i = 0; i < limit; ++i) {
-        const int socket = connectTo(bench.port());
+        const int socket = connectTo(fixture.port());
         writeTo(socket, chat(true));
-        open[bench.expect<Node::CallerRequest>().caller] = socket;
+        open[fixture.expect<Node::CallerRequest>().caller] = socket;
     }
     for (int i = 0; i < 200; ++i) {
-        const std::string answer = exchange(bench.port(), chat(true));
+        const std::string answer = exchange(fixture.port(), chat(true));
         REQUIRE(statusOf(answer) == 503);
         REQUIRE(typeOf(answer) == "no_capacity");
         REQUIRE(answer.find("Retry-After: 1\r\n") != std::string::npos);
     }
-    CHECK(statusOf(exchange(bench.port(), get("/healthz"))) == 200);
+    CHECK(statusOf(exchange(fixture.port(), get("/healthz"))) == 200);
     for (const auto &[caller, socket] : open) {
-        bench.sessions().startAnswer(caller, chatHead);
-        bench.sessions().finishAnswer(caller);
+        fixture.sessions().startAnswer(caller, chatHead);
+        fixture.sessions().finishAnswer(caller);
         CHECK(readFrom(socket).find("[DONE]") != std::string::npos);
         ::close(socket);
     }
@@ -286,8 +287,10 @@
 
 TEST_CASE("Bad requests get a typed answer and never reach the node")
 {
-    Bench bench;
-    const auto answer = [&](const std::string &request) { return exchange(bench.port(), request); };
+    Fixture fixture;
+    const auto answer = [&](const std::string &request) {
+        return exchange(fixture.port(), request);
+    };
     CHECK(typeOf(answer(post("/v1/chat/completions", "{"))) == "bad_request");
     const std::string large = answer(post("/v1/chat/completions", std::string(1001, ' ')));
     CHECK(statusOf(large) == 413);
@@ -297,20 +300,20 @@
     CHECK(statusOf(answer(post("/v1/chat/completions", "{}", "Idempotency-Key: a\x01\r\n")))
           == 400);
     CHECK(answer(get("/nothing")).find("X-Request-Id: r1-1-x") != std::string::npos);
-    CHECK(bench.isQuiet());
+    CHECK(fixture.isQuiet());
 }
 
 TEST_CASE("Operators' pages")
 {
-    Bench bench;
-    CHECK(bodyOf(exchange(bench.port(), get("/metrics"))) == "metrics\n");
-    CHECK(statusOf(exchange(bench.port(), get("/readyz"))) == 200);
-    bench.state().isLeaving = true;
-    CHECK(statusOf(exchange(bench.port(), get("/readyz"))) == 503);
-    CHECK(statusOf(exchange(bench.port(), get("/healthz"))) == 200);
+    Fixture fixture;
+    CHECK(bodyOf(exchange(fixture.port(), get("/metrics"))) == "metrics\n");
+    CHECK(statusOf(exchange(fixture.port(), get("/readyz"))) == 200);
+    fixture.state().isLeaving = true;
+    CHECK(statusOf(exchange(fixture.port(), get("/readyz"))) == 503);
+    CHECK(statusOf(exchange(fixture.port(), get("/healthz"))) == 200);
 
     const auto answerTo = [&](const std::string &request, const auto &respond) {
-        const int socket = connectTo(bench.port());
+        const int socket = connectTo(fixture.port());
         writeTo(socket, request);
         respond();
         std::string answer = readFrom(socket);
@@ -318,10 +321,10 @@
         return answer;
     };
     const std::string hosts = answerTo(get("/v1/entry-hosts?zone=langley"), [&] {
-        const auto asked = bench.expect<Node::EntryHostsAsked>();
+        const auto asked = fixture.expect<Node::EntryHostsAsked>();
         CHECK(asked.zone == Base::ZoneId("langley"));
         const Base::ZoneId zone("langley");
-        bench.sessions().sendEntryHosts(
+        fixture.sessions().sendEntryHosts(
             asked.caller, {{{"127.0.0.1:1", zone}, {"", zone}}, std::chrono::seconds(10)});
     });
     CHECK(hosts.find("Cache-Control: max-age=10") != std::string::npos);
@@ -331,12 +334,12 @@
     const std::string write = "PUT /v1/targets/batch HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
                               "If-Match: 3\r\nContent-Length: 23\r\n\r\n{\"startWithinMs\":70000}";
     const std::string lost = answerTo(write, [&] {
-        const auto asked = bench.expect<Node::TargetWriteAsked>();
+        const auto asked = fixture.expect<Node::TargetWriteAsked>();
         CHECK(asked.seen == 3);
         Node::Failure it;
         it.type = Node::FailureType::LostRace;
         it.currentVersion = 9;
-        bench.sessions().fail(asked.caller, it);
+        fixture.sessions().fail(asked.caller, it);
     });
     CHECK(statusOf(lost) == 412);
     CHECK(lost.find("\"currentVersion\":9") != std::string::npos);
