--- a/tests/auto/daemon/scriptedserver.cpp
+++ b/tests/auto/daemon/scriptedserver.cpp
@@ -139,7 +139,7 @@
     }
 }
 
-std::string deadAddress()
+std::string unusedAddress()
 {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
     const std::uint16_t port = bindFree(socket);
--- a/tests/auto/daemon/scriptedserver.h
+++ b/tests/auto/daemon/scriptedserver.h
@@ -59,7 +59,7 @@
 };
 
 /// "IP:PORT" at which nobody listens.
-std::string deadAddress();
+std::string unusedAddress();
 
 /// A connection to \a port of this host.
 int connectTo(std::uint16_t port);
--- a/tests/auto/daemon/tst_backendclient.cpp
+++ b/tests/auto/daemon/tst_backendclient.cpp
@@ -127,7 +127,7 @@
 // Cause: one kind of failure taken for another.
 TEST_CASE("Only what never left this process is told as never sent")
 {
-    CHECK(failureAt(deadAddress()).sent == SendState::NeverSent);
+    CHECK(failureAt(unusedAddress()).sent == SendState::NeverSent);
     CHECK(failureAt("not an address").sent == SendState::NeverSent);
     CHECK(failureWith([](ScriptedConnection &it) { it.readRequest(); }).sent
           == SendState::MaybeRan);
@@ -299,7 +299,7 @@
     fixture.client().pause(request.attempt);
     // The loop runs its tasks in order: once the poll is answered, the stream is paused. Parts
     // that were on their way come before the answer.
-    fixture.client().pollLoad(Base::ServerId("m2"), deadAddress());
+    fixture.client().pollLoad(Base::ServerId("m2"), unusedAddress());
     int parts = 1;
     while (std::holds_alternative<Node::BackendPart>(fixture.next()))
         ++parts;
@@ -323,6 +323,6 @@
 TEST_CASE("A server that cannot be reached is told so")
 {
     Fixture fixture;
-    fixture.client().pollLoad(Base::ServerId("m1"), deadAddress());
+    fixture.client().pollLoad(Base::ServerId("m1"), unusedAddress());
     CHECK_FALSE(fixture.expect<Node::BackendLoad>().isReachable);
 }
--- a/tests/auto/daemon/tst_peertransport.cpp
+++ b/tests/auto/daemon/tst_peertransport.cpp
@@ -63,7 +63,7 @@
     EventRing sent(64);
     EventRing arrived(64);
     const auto peers = transport(sent);
-    const std::string dead = deadAddress();
+    const std::string dead = unusedAddress();
     peers->send(Base::HostId("r2"), dead, cancelOf(1));
     const auto event = sent.popFor(longest);
     REQUIRE(event);
--- a/tests/auto/daemon/tst_platformclient.cpp
+++ b/tests/auto/daemon/tst_platformclient.cpp
@@ -53,7 +53,7 @@
 // Cause: no answer and not sent are told as the same.
 TEST_CASE("A write whose answer is lost is unknown, one that never left is not done")
 {
-    CHECK(writeAt(deadAddress()) == TableStatus::NotDone);
+    CHECK(writeAt(unusedAddress()) == TableStatus::NotDone);
     CHECK(writeWith([](ScriptedConnection &it) { it.readRequest(); }) == TableStatus::Unknown);
     CHECK(writeWith([](ScriptedConnection &it) {
               it.readRequest();
