--- a/tests/auto/daemon/tst_httpfront.cpp
+++ b/tests/auto/daemon/tst_httpfront.cpp
@@ -14,7 +14,7 @@
 using namespace Daemon;
 using Json = nlohmann::json;
 
-constexpr auto longest = std::chrono::seconds(20);
+constexpr auto eventTimeout = std::chrono::seconds(20);
 
 class FixedPage final : public MetricsPage
 {
@@ -49,7 +49,7 @@
     template <typename Event>
     Event expect()
     {
-        const auto event = m_ring.popFor(longest);
+        const auto event = m_ring.popFor(eventTimeout);
         REQUIRE(event);
         REQUIRE(std::holds_alternative<Event>(*event));
         return std::get<Event>(*event);
--- a/tests/auto/daemon/tst_peertransport.cpp
+++ b/tests/auto/daemon/tst_peertransport.cpp
@@ -9,7 +9,7 @@
 
 using namespace Daemon;
 
-constexpr auto longest = std::chrono::seconds(20);
+constexpr auto eventTimeout = std::chrono::seconds(20);
 
 Node::PeerMessage cancelOf(std::uint64_t serial)
 {
@@ -46,7 +46,7 @@
     for (std::uint64_t i = 0; i < messages; ++i)
         peers->send(Base::HostId("r2"), address, cancelOf(i));
     for (std::uint64_t i = 0; i < messages; ++i) {
-        const auto event = arrived.popFor(longest);
+        const auto event = arrived.popFor(eventTimeout);
         REQUIRE(event);
         const auto &message = std::get<Node::PeerMessageArrived>(*event);
         REQUIRE(message.from == Base::HostId("r1"));
@@ -65,7 +65,7 @@
     const auto peers = transport(sent);
     const std::string dead = unusedAddress();
     peers->send(Base::HostId("r2"), dead, cancelOf(1));
-    const auto event = sent.popFor(longest);
+    const auto event = sent.popFor(eventTimeout);
     REQUIRE(event);
     CHECK(std::get<Node::PeerUnreachable>(*event).host == Base::HostId("r2"));
 
@@ -77,7 +77,7 @@
         peers->send(Base::HostId("r2"), dead, cancelOf(++serial));
         sent.popFor(std::chrono::milliseconds(50));
     }
-    CHECK(std::holds_alternative<Node::PeerMessageArrived>(*arrived.popFor(longest)));
+    CHECK(std::holds_alternative<Node::PeerMessageArrived>(*arrived.popFor(eventTimeout)));
 }
 
 // What a user would see: a router that stops serving because another one hangs. Order: a peer
@@ -89,7 +89,7 @@
     const auto peers = transport(sent);
     for (std::uint64_t i = 0; i < 20000; ++i)
         peers->send(Base::HostId("r2"), frozen.address(), cancelOf(i));
-    const auto event = sent.popFor(longest);
+    const auto event = sent.popFor(eventTimeout);
     REQUIRE(event);
     CHECK(std::holds_alternative<Node::PeerUnreachable>(*event));
 }
