--- a/tests/auto/daemon/tst_httpfront.cpp
+++ b/tests/auto/daemon/tst_httpfront.cpp
@@ -55,7 +55,7 @@
         return std::get<Event>(*event);
     }
 
-    bool isQuiet() const { return m_ring.size() == 0; }
+    bool hasNoEvents() const { return m_ring.size() == 0; }
 
 private:
     EventRing m_ring;
@@ -135,7 +135,7 @@
     fixture.sessions().finishAnswer(asked.caller);
     CHECK(readFrom(socket).find("data: [DONE]\n\n") != std::string::npos);
     ::close(socket);
-    CHECK(fixture.isQuiet());
+    CHECK(fixture.hasNoEvents());
 }
 
 TEST_CASE("A caller that wants no stream gets one completion")
@@ -239,17 +239,17 @@
     writeTo(slow, chat(true));
     const auto asked = fixture.expect<Node::CallerRequest>();
     fixture.sessions().startAnswer(asked.caller, chatHead);
-    std::vector<Node::Event> own;
+    std::vector<Node::Event> ownEvents;
     std::size_t sent = 0;
     // The system's own buffers take some megabytes first.
-    constexpr std::size_t plenty = 100000000;
-    while (own.empty() && sent < plenty) {
+    constexpr std::size_t maxSentBytes = 100000000;
+    while (ownEvents.empty() && sent < maxSentBytes) {
         fixture.sessions().appendAnswer(asked.caller, chunk(std::string(1000, 'x')));
         sent += 1000;
-        own = fixture.sessions().takeEvents();
+        ownEvents = fixture.sessions().takeEvents();
     }
-    REQUIRE(own.size() == 1);
-    CHECK(std::get<Node::CallerBlocked>(own.front()).caller == asked.caller);
+    REQUIRE(ownEvents.size() == 1);
+    CHECK(std::get<Node::CallerBlocked>(ownEvents.front()).caller == asked.caller);
 
     CHECK(statusOf(exchange(fixture.port(), get("/healthz"))) == 200);
     fixture.sessions().finishAnswer(asked.caller);
@@ -300,7 +300,7 @@
     CHECK(statusOf(answer(post("/v1/chat/completions", "{}", "Idempotency-Key: a\x01\r\n")))
           == 400);
     CHECK(answer(get("/nothing")).find("X-Request-Id: r1-1-x") != std::string::npos);
-    CHECK(fixture.isQuiet());
+    CHECK(fixture.hasNoEvents());
 }
 
 TEST_CASE("Operators' pages")
