--- a/tests/auto/daemon/tst_backendclient.cpp
+++ b/tests/auto/daemon/tst_backendclient.cpp
@@ -251,17 +251,17 @@
 
 TEST_CASE("A cancelled stream is closed, ordered to stop, and not heard of again")
 {
-    Base::BoundedRing<std::string> orders(4);
+    Base::BoundedRing<std::string> observed(4);
     const ScriptedServer server([&](ScriptedConnection &it) {
         const std::string request = it.readRequest();
         if (request.rfind("DELETE", 0) == 0) {
-            orders.push(request.substr(0, request.find("\r\n")));
+            observed.push(request.substr(0, request.find("\r\n")));
             it.write(emptyAnswer);
             return;
         }
         it.write(chatHead + event(0, "a"));
         it.waitForClose();
-        orders.push("closed");
+        observed.push("closed");
     });
     Fixture fixture;
     const Node::BackendRequest request = requestTo(server.address());
@@ -271,7 +271,7 @@
     fixture.client().cancel(request.attempt);
     std::set<std::string> seen;
     for (int i = 0; i < 2; ++i)
-        seen.insert(orders.popFor(std::chrono::seconds(20)).value_or("none"));
+        seen.insert(observed.popFor(std::chrono::seconds(20)).value_or("none"));
     CHECK(seen == std::set<std::string>{"DELETE /v1/streams/s1 HTTP/1.1", "closed"});
     CHECK(fixture.ring().size() == 0);
 }
@@ -290,8 +290,8 @@
         it.write("data: [DONE]\n\n");
     });
     // Nothing but the pause holds the client back.
-    constexpr std::size_t plenty = 16000;
-    Fixture fixture(plenty);
+    constexpr std::size_t ringCapacity = 16000;
+    Fixture fixture(ringCapacity);
     const Node::BackendRequest request = requestTo(server.address());
     fixture.client().send(request);
     fixture.expect<Node::BackendHead>();
