--- a/tests/auto/daemon/tst_peertransport.cpp
+++ b/tests/auto/daemon/tst_peertransport.cpp
@@ -63,18 +63,18 @@
     EventRing sent(64);
     EventRing arrived(64);
     const auto peers = transport(sent);
-    const std::string dead = unusedAddress();
-    peers->send(Base::HostId("r2"), dead, cancelOf(1));
+    const std::string address = unusedAddress();
+    peers->send(Base::HostId("r2"), address, cancelOf(1));
     const auto event = sent.popFor(eventTimeout);
     REQUIRE(event);
     CHECK(std::get<Node::PeerUnreachable>(*event).host == Base::HostId("r2"));
 
-    auto created = GrpcPeerServer::create(Base::HostId("r2"), dead, arrived);
+    auto created = GrpcPeerServer::create(Base::HostId("r2"), address, arrived);
     REQUIRE(created);
     // Each failed call is told; after some the library has connected anew.
     std::uint64_t serial = 1;
     while (arrived.size() == 0) {
-        peers->send(Base::HostId("r2"), dead, cancelOf(++serial));
+        peers->send(Base::HostId("r2"), address, cancelOf(++serial));
         sent.popFor(std::chrono::milliseconds(50));
     }
     CHECK(std::holds_alternative<Node::PeerMessageArrived>(*arrived.popFor(eventTimeout)));
@@ -84,11 +84,11 @@
 // is frozen while work for it goes on. Cause: messages for it pile up, or the core waits.
 TEST_CASE("A frozen peer holds nobody up, and its calls end")
 {
-    const ScriptedServer frozen([](ScriptedConnection &it) { it.waitForClose(); });
+    const ScriptedServer unresponsive([](ScriptedConnection &it) { it.waitForClose(); });
     EventRing sent(64);
     const auto peers = transport(sent);
     for (std::uint64_t i = 0; i < 20000; ++i)
-        peers->send(Base::HostId("r2"), frozen.address(), cancelOf(i));
+        peers->send(Base::HostId("r2"), unresponsive.address(), cancelOf(i));
     const auto event = sent.popFor(eventTimeout);
     REQUIRE(event);
     CHECK(std::holds_alternative<Node::PeerUnreachable>(*event));
