--- a/tests/auto/daemon/tst_peerqueue.cpp
+++ b/tests/auto/daemon/tst_peerqueue.cpp
@@ -14,7 +14,7 @@
     return it;
 }
 
-Node::PeerMessage permit(std::uint64_t serial)
+Node::PeerMessage permitCancel(std::uint64_t serial)
 {
     Node::PermitCancel it;
     it.attempt.request.serial = serial;
@@ -27,12 +27,13 @@
 {
     PeerQueue queue(3);
     queue.push(heartbeat(1));
-    queue.push(permit(1));
+    queue.push(permitCancel(1));
     queue.push(heartbeat(2));
-    queue.push(permit(2));
-    queue.push(permit(3));
+    queue.push(permitCancel(2));
+    queue.push(permitCancel(3));
     CHECK(queue.dropped() == 2);
-    CHECK(queue.take(9) == std::vector<Node::PeerMessage>{permit(1), permit(2), permit(3)});
+    CHECK(queue.take(9)
+          == std::vector<Node::PeerMessage>{permitCancel(1), permitCancel(2), permitCancel(3)});
 }
 
 TEST_CASE("The queue stays bounded and in order")
@@ -42,15 +43,16 @@
         PeerQueue queue(capacity);
         const auto n = *rc::gen::inRange<std::uint64_t>(0, 30);
         for (std::uint64_t i = 1; i <= n; ++i)
-            queue.push(*rc::gen::arbitrary<bool>() ? Node::PeerMessage(heartbeat(i)) : permit(i));
+            queue.push(*rc::gen::arbitrary<bool>() ? Node::PeerMessage(heartbeat(i))
+                                                   : permitCancel(i));
         RC_ASSERT(queue.size() <= capacity);
         RC_ASSERT(queue.size() + queue.dropped() == n);
         std::uint64_t last = 0;
         for (const Node::PeerMessage &message : queue.take(capacity)) {
-            const auto *beat = std::get_if<Coordination::Heartbeat>(&message);
+            const auto *asHeartbeat = std::get_if<Coordination::Heartbeat>(&message);
             const std::uint64_t number =
-                beat ? beat->sequence
-                     : std::get<Node::PermitCancel>(message).attempt.request.serial;
+                asHeartbeat ? asHeartbeat->sequence
+                            : std::get<Node::PermitCancel>(message).attempt.request.serial;
             RC_ASSERT(number > last);
             last = number;
         }
