--- a/tests/auto/daemon/tst_platformclient.cpp
+++ b/tests/auto/daemon/tst_platformclient.cpp
@@ -11,7 +11,7 @@
 using namespace Daemon;
 using Storage::TableStatus;
 
-std::string answerOf(const std::string &status, const std::string &body)
+std::string httpAnswer(const std::string &status, const std::string &body)
 {
     return "HTTP/1.1 " + status + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n"
            + body;
@@ -41,7 +41,7 @@
 {
     return writeWith([&](ScriptedConnection &it) {
         it.readRequest();
-        it.write(answerOf(status, body));
+        it.write(httpAnswer(status, body));
         it.waitForClose();
     });
 }
