--- a/src/libs/daemon/bufferedtransfer.cpp
+++ b/src/libs/daemon/bufferedtransfer.cpp
@@ -13,16 +13,16 @@
 
 void BufferedTransfer::finished(CURLcode code)
 {
-    m_done({code, isSent(), status(), std::move(m_body)});
+    m_done({code, isSent(), status(), std::move(m_answerBody)});
 }
 
 void BufferedTransfer::receiveHeader(std::string_view, std::string_view) {}
 
 bool BufferedTransfer::receiveBody(std::string_view bytes)
 {
-    if (m_body.size() + bytes.size() > m_maxAnswerBytes)
+    if (m_answerBody.size() + bytes.size() > m_maxAnswerBytes)
         return false;
-    m_body += bytes;
+    m_answerBody += bytes;
     return true;
 }
 
--- a/src/libs/daemon/bufferedtransfer.h
+++ b/src/libs/daemon/bufferedtransfer.h
@@ -34,7 +34,7 @@
 
     std::size_t m_maxAnswerBytes;
     Done m_done;
-    std::string m_body;
+    std::string m_answerBody;
 };
 
 } // namespace Daemon
