--- a/src/libs/daemon/daemon.cpp
+++ b/src/libs/daemon/daemon.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Grows with each start of a host, as long as its clock is not set back between them.
+/// Returns the microseconds since the epoch. The value grows with each start of a host, as long as
+/// its clock is not set back in between.
 Base::Incarnation incarnationNow()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
@@ -45,7 +46,7 @@
 
 Daemon::~Daemon()
 {
-    // Whoever waits at the ring goes on, and nothing is taken any more.
+    // Wakes the threads that wait at the ring; no further event is accepted.
     m_ring.close();
     m_sessions.hangUpAll();
 }
@@ -116,7 +117,8 @@
 
 void Daemon::seedPeers()
 {
-    // Version 0 is older than any list of the platform.
+    // Version 0 is older than any list from the platform, so the first such list replaces the
+    // seeds.
     Storage::HostListing listing;
     for (const SeedRouter &seed : m_settings.seeds) {
         Storage::ListedHost host;
--- a/src/libs/daemon/daemon.h
+++ b/src/libs/daemon/daemon.h
@@ -18,14 +18,15 @@
 
 namespace Daemon {
 
-/// Calendar time of this host.
+/// Wall-clock time of this host.
 class HostWallClock final : public Node::WallClock
 {
 public:
     Base::WallTime now() const override { return std::chrono::system_clock::now(); }
 };
 
-/// What the daemon tells about itself: logs, metrics and traces. Outlives the daemon.
+/// Where the daemon reports its logs, metrics and traces. The referenced objects must outlive the
+/// daemon.
 struct DaemonReports
 {
     Node::NodeObserver &observer;
@@ -33,26 +34,27 @@
     MetricsPage &metrics;
 };
 
-/// One router process: the node with all its threads.
+/// One router process: the node together with all its threads.
 class Daemon
 {
 public:
-    /// Starts to serve. Fails with MalformedAddress, CannotListen, WatcherUnavailable,
-    /// ClientUnavailable or what the node's parts fail with.
+    /// Creates the daemon and starts to serve. Fails with MalformedAddress, CannotListen,
+    /// WatcherUnavailable, ClientUnavailable or an error of the node's parts.
     static Base::Result<std::unique_ptr<Daemon>> create(const DaemonSettings &settings,
                                                         const DaemonReports &instrumentation);
     ~Daemon();
 
-    /// Any thread: leaves the fleet. New work is still taken while callers may hold an old
-    /// list of entry hosts. A second call changes nothing.
+    /// Starts to leave the fleet. May be called on any thread. New work is still accepted while
+    /// callers may hold an old list of entry hosts. Further calls have no effect.
     void beginShutdown(Base::TimePoint now);
-    /// Whether the process may end without cutting anything off.
+    /// Whether the process may exit without cutting off a caller.
     bool isFinished(Base::TimePoint now) const;
-    /// Asks the platform for the host list; called each hostListInterval.
+    /// Requests the host list from the platform. Must be called every hostListInterval.
     void pollHosts();
 
     std::uint16_t callerPort() const { return m_httpServer->port(); }
     std::uint16_t peerPort() const { return m_peerServer->port(); }
+    /// Returns the bytes sent to other routers so far, by kind of traffic.
     GrpcPeerTransport::Totals controlBytes() const { return m_peers->totals(); }
 
 private:
@@ -70,7 +72,8 @@
     HostWallClock m_wallClock;
     Base::SeededRandom m_random;
     std::optional<Base::TimePoint> m_leavingSince;
-    // In this order: each thread ends before what it uses.
+    // The order matters: the members are destroyed in reverse, so that each thread ends before the
+    // objects that it uses.
     std::unique_ptr<GrpcPeerTransport> m_peers;
     std::unique_ptr<HttpBackendClient> m_backends;
     std::unique_ptr<PlatformClient> m_platform;
