--- a/src/libs/daemon/corethread.cpp
+++ b/src/libs/daemon/corethread.cpp
@@ -53,7 +53,8 @@
 
 void CoreThread::handleSessionEvents()
 {
-    // A session that has just become full is held back before its next part is taken.
+    // Pauses the stream of a session that has just exceeded its limit before the node takes the
+    // next part of that stream.
     for (std::vector<Node::Event> events = m_sessions.takeEvents(); !events.empty();
          events = m_sessions.takeEvents()) {
         for (const Node::Event &event : events)
--- a/src/libs/daemon/corethread.h
+++ b/src/libs/daemon/corethread.h
@@ -13,7 +13,7 @@
 
 namespace Daemon {
 
-/// Hears, on the core's thread, how the node stands; for metrics.
+/// Reads the state of the node about once a second on the core's thread, for metrics.
 class NodeWatcher
 {
 public:
@@ -21,20 +21,21 @@
     virtual void nodeChanged(const Node::Node &node) = 0;
 };
 
-/// The one thread that owns the node: takes events from the ring, and the time to it.
+/// The thread that owns the node. It passes events from the ring to the node and advances the
+/// node's timers.
 ///
-/// Never waits for another thread: what the node sends goes into buffers that take it at once.
-/// So no producer that waits at the ring can wait for ever.
+/// This thread never waits for another thread: whatever the node sends goes into buffers that
+/// accept it at once. So a producer that waits for room in the ring never waits forever.
 class CoreThread
 {
 public:
-    /// Starts the thread. \a sampler is told about the node once a second.
+    /// Starts the thread. Calls \a sampler about once a second.
     CoreThread(std::unique_ptr<Node::Node> node, EventRing &ring, CallerSessions &sessions,
                ProcessState &state, NodeWatcher &sampler);
-    /// Stops at once, whatever is open.
+    /// Stops the thread at once, even while requests are open.
     ~CoreThread();
 
-    /// Whether the node was told to leave and has given every request its final answer.
+    /// Whether the node was told to shut down and every request has got its final answer.
     bool isDrained() const { return m_isDrained; }
 
 private:
