--- a/src/libs/daemon/httpfront.cpp
+++ b/src/libs/daemon/httpfront.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// The connection that the calling thread serves. Each connection has a thread of its own, and
-/// the library names the connection only to the callback that sees the request line.
+/// The connection that the calling thread serves. Each connection has its own thread, and the HTTP
+/// library passes the connection only to the callback for the request line.
 thread_local MHD_Connection *currentConnection = nullptr;
 
 constexpr unsigned int mhdFlags =
@@ -79,7 +79,7 @@
     return asked && (asked->isStreaming || asked->kind == Node::WorkKind::ServiceCall);
 }
 
-/// Whether answers with this status have no body.
+/// Whether a response with this status never has a body.
 bool hasNoBody(int status)
 {
     return status == 204 || status == 304;
@@ -87,7 +87,7 @@
 
 } // namespace
 
-/// The HTTP library's callbacks; plain functions that find their object.
+/// Callbacks of the HTTP library. These static functions forward to the object in their closure.
 struct HttpServerCallbacks
 {
     static int serve(const _u_request *request, _u_response *response, void *server)
@@ -154,12 +154,13 @@
     BOOST_LEAF_AUTO(address, parseAddress(m_settings.address));
     BOOST_LEAF_ASSIGN(m_watcher, HangupWatcher::create(
                                      [this](Node::CallerId caller) { m_sessions.hangUp(caller); }));
-    // The library takes no port 0; the real address goes in by MHD_OPTION_SOCK_ADDR.
+    // Ulfius does not accept port 0. It gets port 1 instead, and MHD_OPTION_SOCK_ADDR sets the real
+    // address.
     m_instance.reset(new _u_instance);
     ulfius_init_instance(m_instance.get(), 1, nullptr, nullptr);
     m_instance->allowed_post_processor = U_POST_PROCESS_NONE;
     m_instance->check_utf8 = 0;
-    // One byte more than allowed is read, so that a larger body shows itself as larger.
+    // Reads one byte more than allowed, so that a body that is too large can be recognized.
     m_instance->max_post_body_size = m_settings.bodyBytes + 1;
     ulfius_add_endpoint_by_val(m_instance.get(), "*", nullptr, "*", 0, &HttpServerCallbacks::serve,
                                this);
@@ -187,7 +188,7 @@
 
 std::uint16_t HttpServer::port() const
 {
-    // Asked for its port, the library gives the one that it was started with.
+    // Asks the socket, because the HTTP library only returns the port that it was started with.
     const MHD_DaemonInfo *info =
         MHD_get_daemon_info(m_instance->mhd_daemon, MHD_DAEMON_INFO_LISTEN_FD);
     sockaddr_in address{};
@@ -199,7 +200,7 @@
 
 void HttpServer::serve(const _u_request &request, _u_response &response)
 {
-    // From here on it is this process that lets the caller wait.
+    // From here on the caller waits for this process, so the idle timeout does not apply.
     setIdleTimeout(std::chrono::seconds(0));
     const HttpRequest read = readRequest(request);
     boost::leaf::try_handle_all(
@@ -318,7 +319,7 @@
     failure.retryAfter = connectionLimitRetryAfter;
     failure.requestId = nextRequestId();
     respondFailure(response, failure);
-    // Frees the place that is kept for the next one.
+    // Closing the connection frees the reserved connection for the next caller.
     setHeader(response, "Connection", "close");
 }
 
--- a/src/libs/daemon/httpfront.h
+++ b/src/libs/daemon/httpfront.h
@@ -19,38 +19,43 @@
 
 class AnswerStream;
 
-/// The HTTP library could not listen at the address.
+/// The process could not listen at the address.
 struct CannotListen
 {
     std::string address;
 };
 
+/// Settings of the HTTP server.
 struct HttpServerSettings
 {
-    /// "IP:PORT"; port 0 takes a free one.
+    /// "IP:PORT"; port 0 selects a free port.
     std::string address;
+    /// Callers that may be connected at the same time.
     std::size_t connections = 2000;
+    /// Largest accepted request body in bytes.
     std::size_t bodyBytes = 1048576;
-    /// Put before the numbers of requests that the node never sees.
+    /// Prefix of the ids of requests that are refused before they reach the node.
     std::string requestIdPrefix;
 };
 
-/// The HTTP server for callers and operators: a thread for each connection, which reads the
-/// request, hands it to the core as an event, and writes what comes back.
+/// The HTTP server for callers and operators. One thread per connection reads the request, passes
+/// it to the core as an event and writes the answer.
 ///
-/// Answers the load pattern of more callers than the process is sized for: past the limit each
-/// is told to come back, on connections that are kept free for that. Without them the library
-/// would close the connection, and a caller could not tell that from a crash.
+/// Callers beyond the connection limit are told to retry later, on connections that are reserved
+/// for such answers. Without them the HTTP library would close the connection, which a caller
+/// cannot tell from a crash.
 class HttpServer
 {
 public:
-    /// Starts to listen. Fails with MalformedAddress, CannotListen or WatcherUnavailable.
+    /// Creates the server and starts to listen. Fails with MalformedAddress, CannotListen or
+    /// WatcherUnavailable.
     static Base::Result<std::unique_ptr<HttpServer>>
     create(const HttpServerSettings &settings, CallerSessions &sessions, EventRing &ring,
            const ProcessState &state, MetricsPage &metrics);
     ~HttpServer();
 
     std::uint16_t port() const;
+    /// Returns the number of open connections, including those beyond the limit.
     std::size_t openConnections() const { return m_connections; }
 
 private:
