--- a/src/libs/daemon/requestparser.cpp
+++ b/src/libs/daemon/requestparser.cpp
@@ -20,7 +20,8 @@
 constexpr std::string_view servicesPath = "/v1/services/";
 constexpr std::string_view targetsPath = "/v1/targets";
 constexpr std::string_view bearerPrefix = "Bearer ";
-/// Longest deadline or start target taken; larger ones would overflow when added to a time.
+/// Longest accepted deadline or start target in milliseconds, 30 days. Larger values would overflow
+/// when added to a point in time.
 constexpr std::uint64_t maxMilliseconds = 1000ULL * 3600 * 24 * 30;
 
 boost::leaf::error_id badRequest(RequestFault fault)
@@ -37,10 +38,10 @@
     return number;
 }
 
-/// Whether a header value can be passed on: visible ASCII and blanks, of a sane length.
+/// Whether a header value can be forwarded: printable ASCII of limited length.
 ///
-/// Guards against a value that ends its own line at the next hop and so adds headers of the
-/// caller's choice to the router's request.
+/// Prevents header injection: a value with a line break would add headers of the caller's choice to
+/// the router's request at the next hop.
 bool isPrintable(std::string_view value)
 {
     return value.size() <= maxHeaderValueBytes
@@ -61,7 +62,8 @@
            && isPrintable(fields.traceparent) && isPrintable(fields.ifMatch);
 }
 
-/// Version, trace id, parent id and flags in lower-case hex; others are not passed on.
+/// Whether the value consists of version, trace id, parent id and flags in lower-case hex. Other
+/// values are not forwarded.
 bool isTraceparent(std::string_view value)
 {
     constexpr std::string_view shape = "00-tttttttttttttttttttttttttttttttt-pppppppppppppppp-ff";
--- a/src/libs/daemon/requestparser.h
+++ b/src/libs/daemon/requestparser.h
@@ -10,14 +10,14 @@
 
 namespace Daemon {
 
-/// What the process answers by itself.
+/// Pages that the process serves without the node.
 enum class LocalPage { Health, Readiness, Metrics };
 
-/// What a request asks for: a page of this process, or an event for the node, whose caller is
-/// not filled in yet.
+/// What a request asks for: a page of this process, or an event for the node. The caller of the
+/// event is not set yet.
 using ParsedRequest = std::variant<LocalPage, Node::Event>;
 
-/// Why a request is turned away before the node sees it.
+/// Why a request is refused before it reaches the node.
 enum class RequestFault {
     UnknownPath,
     WrongMethod,
@@ -27,23 +27,25 @@
     MalformedHeader,
     MalformedDeadline,
     MissingIdempotencyKey,
-    MissingVersion, ///< A change of a target without If-Match.
+    MissingVersion, ///< A class target is to be changed without If-Match.
     MalformedTarget,
 };
 
-/// Error of parseRequest().
+/// The error of parseRequest().
 struct BadRequest
 {
     RequestFault fault = RequestFault::UnknownPath;
 };
 
-/// HTTP status of a fault.
+/// Returns the HTTP status of a fault.
 int statusOf(RequestFault fault);
-/// Its type towards callers.
+/// Returns the type of a fault in the error body.
 const char *typeName(RequestFault fault);
+/// Returns the message of a fault in the error body.
 const char *messageOf(RequestFault fault);
 
-/// Reads a caller's or an operator's request. Fails with BadRequest; any content is safe.
+/// Parses the request of a caller or an operator. Bodies may have at most \a maxBodyBytes. Fails
+/// with BadRequest; safe for any input.
 Base::Result<ParsedRequest> parseRequest(const HttpRequest &request, std::size_t maxBodyBytes);
 
 } // namespace Daemon
