--- a/src/libs/daemon/callersession.cpp
+++ b/src/libs/daemon/callersession.cpp
@@ -55,7 +55,8 @@
         if (isUnblocked)
             m_isBlocked = false;
     }
-    // Outside the lock: the ring may be full, and the core must get at this session to empty it.
+    // Pushes after the lock is released: the ring may be full, and the core must be able to lock
+    // this session while it empties the ring.
     if (isUnblocked)
         m_ring.push(Node::CallerReady{m_id});
     return item;
--- a/src/libs/daemon/callersession.h
+++ b/src/libs/daemon/callersession.h
@@ -12,21 +12,22 @@
 
 namespace Daemon {
 
-/// The answer is whole.
+/// Marks the end of a complete answer.
 struct AnswerFinished
 {};
 
-/// What the core sends to one caller, in order.
+/// One item that the core sends to a caller. Items arrive in order.
 using SessionItem = std::variant<Node::AnswerHead, Node::AnswerPart, AnswerFinished, Node::Failure,
                                  Node::EntryHostList, Node::TargetList, Node::NodeStatus>;
 
-/// One exchange with a caller: a bounded buffer between the core's thread, which never waits,
-/// and the connection's thread, which does.
+/// One exchange with a caller: a bounded buffer between the core's thread, which never waits, and
+/// the connection's thread, which does.
 ///
-/// Answers the load pattern of a caller that reads slower than its answer comes: without the
-/// bound its answer would pile up here. Past the limit the core is told to hold the stream
-/// back at its server, at half the limit to go on, so that the two do not alternate for each
-/// part. What was already on its way when the stream is held back is still taken.
+/// The bound keeps the answer of a caller that reads more slowly than its answer arrives from
+/// filling the memory. Above the limit the node is told to pause the stream at its backend server;
+/// at half the limit or less it is told to resume. The gap between the two keeps them from
+/// alternating with every part. Parts that are under way when the stream is paused are still
+/// accepted.
 class CallerSession
 {
 public:
@@ -34,17 +35,20 @@
 
     Node::CallerId id() const { return m_id; }
 
-    /// Core's thread. Returns whether the buffer has just become full.
+    /// Appends \a item; discards it if the caller has hung up. Returns whether the buffer has just
+    /// exceeded its limit. Called on the core's thread.
     bool put(SessionItem item);
 
-    /// Connection's thread: waits for the next item. Empty once the caller has hung up.
+    /// Waits for the next item and removes it. Returns nothing once the caller has hung up. Called
+    /// on the connection's thread.
     std::optional<SessionItem> take();
-    /// Any thread: the caller hung up; wakes take().
+    /// Marks the caller as gone, discards the buffer and wakes take(). May be called on any thread.
     void hangUp();
 
     bool isHungUp() const;
-    /// Whether the last item that the caller gets has been taken.
+    /// Whether the final item for the caller has been taken.
     bool isEnded() const;
+    /// Returns the bytes of answer parts in the buffer.
     std::size_t bufferedBytes() const;
 
 private:
