--- a/src/libs/daemon/callersessions.h
+++ b/src/libs/daemon/callersessions.h
@@ -12,23 +12,27 @@
 
 namespace Daemon {
 
-/// All exchanges open with callers: the node's way to them.
+/// All open exchanges with callers. The node answers its callers through this class.
 class CallerSessions final : public Node::CallerPort
 {
 public:
     CallerSessions(std::size_t bufferLimit, EventRing &ring);
 
-    /// Connection's thread.
+    /// Opens a session for a new exchange. Called on the connection's thread.
     std::shared_ptr<CallerSession> open();
-    /// Connection's thread: the exchange is over. Tells the node if it ended early.
+    /// Closes the session at the end of the exchange. Tells the node if the exchange ended early
+    /// and the node does not know it yet. Called on the connection's thread.
     void close(const CallerSession &session);
-    /// Any thread: the caller's connection was cut.
+    /// Tells the node that the caller's connection was closed. May be called on any thread.
     void hangUp(Node::CallerId caller);
-    /// Any thread: the process ends. Wakes every thread that waits for an answer.
+    /// Wakes every thread that waits for an answer, because the process ends. May be called on any
+    /// thread.
     void hangUpAll();
+    /// Returns the number of open sessions.
     std::size_t size() const;
 
-    /// Core's thread: what the node's own calls led to, to be handled before anything else.
+    /// Returns and clears the events that the node's own calls have caused. They must be handled
+    /// before any other event. Called on the core's thread.
     std::vector<Node::Event> takeEvents();
 
     void startAnswer(Node::CallerId caller, const Node::AnswerHead &head) override;
