--- a/src/libs/daemon/backendtransfer.cpp
+++ b/src/libs/daemon/backendtransfer.cpp
@@ -71,7 +71,7 @@
 void BackendTransfer::pause()
 {
     m_isPaused = true;
-    // The caller is slow, not the server.
+    // No idle timeout applies: the caller is slow, not the server.
     setDeadline(Base::TimePoint::max());
     curl_easy_pause(handle(), CURLPAUSE_RECV);
 }
--- a/src/libs/daemon/backendtransfer.h
+++ b/src/libs/daemon/backendtransfer.h
@@ -12,24 +12,25 @@
 
 namespace Daemon {
 
-/// One attempt at a backend server: sends the work and turns the answer into events for the
+/// One attempt at a backend server: sends the request and turns the answer into events for the
 /// node.
 ///
-/// The answer's head is told with its first part: until then nothing has reached the caller,
-/// and the node may still try another server.
+/// The head of the answer is pushed together with its first part. Until then nothing has reached
+/// the caller, and the node may still try another server.
 class BackendTransfer final : public HttpTransfer
 {
 public:
     using FinishedHandler = std::function<void(const BackendTransfer &)>;
 
-    /// \a handler is called when the transfer ends by itself.
+    /// Calls \a handler when the transfer ends by itself, that is, without being dropped.
     BackendTransfer(const Node::BackendRequest &request, EventRing &ring, FinishedHandler handler);
 
     const Node::AttemptId &attempt() const { return m_attempt; }
     const std::string &address() const { return m_address; }
-    /// Name to cancel the stream by; empty while unknown.
+    /// Returns the name by which the stream can be cancelled; empty while it is unknown.
     const std::string &streamName() const { return m_head.streamName; }
 
+    /// Stops reading the answer; no idle timeout applies until resume().
     void pause();
     void resume();
     void finished(CURLcode code) override;
