--- a/src/libs/daemon/transferloop.h
+++ b/src/libs/daemon/transferloop.h
@@ -12,38 +12,41 @@
 
 namespace Daemon {
 
-/// The HTTP client library gave no handle.
+/// The HTTP client library provided no handle.
 struct ClientUnavailable
 {};
 
+/// Connection limits of a TransferLoop.
 struct TransferLoopSettings
 {
-    /// Connections open at a time; 0 is no bound. Further transfers wait for one.
+    /// Connections that may be open at the same time; 0 means no limit. Further transfers wait for
+    /// one.
     std::size_t maxConnections = 0;
-    /// Idle connections kept for the next transfer.
+    /// Idle connections that are kept for later transfers.
     std::size_t maxIdleConnections = 64;
 };
 
-/// One thread that runs any number of HTTP transfers.
+/// Runs any number of HTTP transfers on one thread.
 class TransferLoop
 {
 public:
     using Task = std::function<void()>;
 
-    /// Fails with ClientUnavailable.
+    /// Creates the loop and starts its thread. Fails with ClientUnavailable.
     static Base::Result<std::unique_ptr<TransferLoop>> create(const TransferLoopSettings &settings);
-    /// Drops what still runs.
+    /// Drops the transfers that still run.
     ~TransferLoop();
 
-    /// Any thread, never waits: \a task is run on the loop's thread, in order.
+    /// Runs \a task on the loop's thread, in the order of the calls. May be called on any thread
+    /// and never waits.
     ///
-    /// The list of tasks has no bound of its own: the core's thread posts them and must never
-    /// wait, and it posts a handful for each open request, of which there is a bounded number.
+    /// The list of tasks has no bound of its own: the core's thread posts them and must never wait.
+    /// It posts only a few tasks for each open request, and the number of open requests is bounded.
     void post(Task task);
 
-    /// Loop's thread.
+    /// Starts a transfer. Called on the loop's thread.
     void add(std::unique_ptr<HttpTransfer> transfer);
-    /// Loop's thread: drops the transfer without a call of finished().
+    /// Drops the transfer without calling its finished(). Called on the loop's thread.
     void drop(HttpTransfer &transfer);
 
 private:
