--- a/src/libs/daemon/httpbackendclient.cpp
+++ b/src/libs/daemon/httpbackendclient.cpp
@@ -83,8 +83,8 @@
     const bool hasStreamName = !transfer->streamName().empty();
     m_transfers.erase(attempt);
     m_loop->drop(*transfer);
-    // Closing the connection stops most servers; the order is for those that go on for a
-    // caller who may come back.
+    // Closing the connection makes most servers stop. The DELETE is for servers that continue a
+    // stream because its caller may come back.
     if (hasStreamName)
         m_loop->add(std::make_unique<BufferedTransfer>(request, maxLoadAnswerBytes,
                                                        [](const BufferedAnswer &) {}));
--- a/src/libs/daemon/httpbackendclient.h
+++ b/src/libs/daemon/httpbackendclient.h
@@ -13,15 +13,16 @@
 
 namespace Daemon {
 
-/// The node's way to the backend servers: one thread for all of them.
+/// Sends the node's requests to the backend servers. One thread runs all transfers.
 class HttpBackendClient final : public Node::BackendClient
 {
 public:
-    /// Fails with ClientUnavailable.
+    /// Creates the client and starts its thread. Fails with ClientUnavailable.
     static Base::Result<std::unique_ptr<HttpBackendClient>> create(EventRing &ring);
 
     void send(const Node::BackendRequest &request) override;
-    /// The server is told to stop the stream; no further event names the attempt.
+    /// Ends the attempt and tells the server to stop the stream if its name is known. No later
+    /// event names the attempt.
     void cancel(const Node::AttemptId &attempt) override;
     void pause(const Node::AttemptId &attempt) override;
     void resume(const Node::AttemptId &attempt) override;
@@ -37,8 +38,9 @@
     BackendTransfer *find(const Node::AttemptId &attempt);
 
     EventRing &m_ring;
-    /// Both on the loop's thread only.
+    /// Running attempts; used on the loop's thread only.
     std::map<Node::AttemptId, BackendTransfer *> m_transfers;
+    /// Servers whose load poll has no answer yet; used on the loop's thread only.
     std::set<Base::ServerId> m_pendingPolls;
     std::unique_ptr<TransferLoop> m_loop;
 };
