--- a/src/libs/daemon/platformclient.cpp
+++ b/src/libs/daemon/platformclient.cpp
@@ -183,7 +183,7 @@
             m_ring.push(Node::HostListArrived{std::move(listing)});
             return {};
         },
-        // Kept as it was: the next poll brings another list.
+        // The known list stays in use; the next poll brings another one.
         [] {});
 }
 
--- a/src/libs/daemon/platformclient.h
+++ b/src/libs/daemon/platformclient.h
@@ -12,25 +12,26 @@
 
 namespace Daemon {
 
-/// What a call of the platform came to, as far as HTTP goes.
+/// The status of a platform call, as far as HTTP shows it.
 enum class PlatformCallStatus {
     Answered,
     Conflict,
     Missing,
-    NotDone, ///< Never sent, or the service said that it did nothing.
-    Unknown, ///< Sent, and no answer that can be trusted.
+    NotDone, ///< The request was never sent, or the service did nothing.
+    Unknown, ///< The request was sent, but no reliable answer arrived.
 };
 
+/// Returns the status that \a answer stands for.
 PlatformCallStatus callStatus(const BufferedAnswer &answer);
 
-/// The node's way to the platform's table, object store and host list: one thread for all.
+/// Calls the platform's table, object store and host list for the node. One thread runs all calls.
 ///
-/// An answer that is lost is Unknown and never NotDone, unless not a byte was sent: a write
-/// may have taken effect before its answer was lost.
+/// A call whose answer is lost is Unknown and never NotDone, unless no byte of the request was
+/// sent: a write may have taken effect before its answer was lost.
 class PlatformClient final : public Storage::TableService, public Storage::ObjectStore
 {
 public:
-    /// \a address is "IP:PORT". Begins to poll the host list. Fails with ClientUnavailable.
+    /// Creates the client for the service at \a address, "IP:PORT". Fails with ClientUnavailable.
     static Base::Result<std::unique_ptr<PlatformClient>> create(const std::string &address,
                                                                 EventRing &ring);
 
@@ -43,8 +44,8 @@
              const std::string &value) override;
     void get(Storage::OperationId operation, const std::string &key) override;
 
-    /// Asks for the host list now; the answer comes as HostListArrived. The daemon calls it
-    /// each hostListInterval.
+    /// Requests the host list; the answer arrives as HostListArrived. The daemon calls this every
+    /// hostListInterval.
     void pollHosts();
 
 private:
