--- a/src/libs/daemon/grpcpeertransport.cpp
+++ b/src/libs/daemon/grpcpeertransport.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// A peer that comes back is found within a second; the library's own pause between tries
-/// grows to two minutes.
+/// Bounds for the pause between connection attempts in milliseconds, so that a peer that comes back
+/// is found within a second. gRPC's default pause grows to two minutes.
 constexpr int minReconnectMs = 100;
 constexpr int maxReconnectMs = 1000;
 
@@ -33,20 +33,21 @@
 
 } // namespace
 
-/// One batch on its way.
+/// One call with its batch.
 struct GrpcPeerTransport::Call
 {
     grpc::ClientContext context;
     Proto::Batch batch;
     Proto::Receipt receipt;
-    /// The stub outlives the call, also when the peer's address changes.
+    /// Keeps the stub alive until the call has ended, even if the peer's address changes.
     std::shared_ptr<Proto::Peer::Stub> stub;
 };
 
-/// Guards against the last reference to a channel going on one of the library's own threads,
-/// which then waits for itself and frees what its fellows still use: the process aborts while
-/// it ends. So a call belongs to its peer and not to its callback, and the last ones are freed
-/// by whoever frees the transport.
+/// The state of one peer. It owns the peer's last call, so that the call is not freed by its own
+/// callback. Otherwise the last reference to a channel could be released on one of gRPC's own
+/// threads, which would then wait for itself and free what gRPC's other threads still use; the
+/// process would abort while it exits. The last calls are freed on the thread that destroys the
+/// transport.
 struct GrpcPeerTransport::Peer
 {
     explicit Peer(const Base::HostId &name)
@@ -57,7 +58,7 @@
     std::string address;
     std::shared_ptr<Proto::Peer::Stub> stub;
     PeerQueue queue{peerQueueCapacity};
-    /// The last call; kept when it has ended.
+    /// The pending call, or the last one after it has ended.
     std::unique_ptr<Call> call;
     bool isCallPending = false;
 };
@@ -146,7 +147,7 @@
     const Wire::BatchEnds ends{m_self, m_incarnation, peer.host};
     const Base::TimePoint now = Base::Clock::now();
     Wire::startBatch(call.batch, ends);
-    // The first message's kind bears the batch's own cost.
+    // The fixed cost of the batch is counted for the kind of its first message.
     std::size_t overheadBytes = call.batch.ByteSizeLong() + batchFramingBytes;
     for (const Node::PeerMessage &message : peer.queue.take(maxMessagesPerBatch)) {
         const std::size_t bytes = Wire::appendMessage(call.batch, ends, message);
@@ -156,7 +157,8 @@
 
 void GrpcPeerTransport::finishCall(Peer &peer, bool isDelivered)
 {
-    // Before the lock: the ring may be full, and the core may be waiting in send().
+    // Pushes before locking: the ring may be full, and the core may be waiting for the lock in
+    // send().
     if (!isDelivered)
         m_ring.push(Node::PeerUnreachable{peer.host});
     const std::lock_guard lock(m_mutex);
--- a/src/libs/daemon/grpcpeertransport.h
+++ b/src/libs/daemon/grpcpeertransport.h
@@ -14,18 +14,20 @@
 
 namespace Daemon {
 
-/// The node's way to the other routers: one call with a batch of messages at a time for each
-/// peer, so that their order holds and batches form by themselves while a call is out.
+/// Sends the node's messages to the other routers. At most one call, with a batch of messages, is
+/// pending per peer. This keeps the messages in order, and messages that arrive during a call form
+/// the next batch.
 class GrpcPeerTransport final : public Node::PeerTransport
 {
 public:
-    /// Bytes sent so far, by TrafficKind.
+    /// Bytes sent so far, indexed by TrafficKind.
     using Totals = std::array<std::uint64_t, Coordination::trafficKindCount>;
 
-    /// \a ring must take PeerUnreachable events until this object is gone.
+    /// Creates the transport. \a ring must accept PeerUnreachable events until this object is
+    /// destroyed.
     static Base::Result<std::unique_ptr<GrpcPeerTransport>>
     create(const Base::HostId &self, Base::Incarnation incarnation, EventRing &ring);
-    /// Cancels the calls that are out and waits for their ends.
+    /// Cancels the pending calls and waits until they have ended.
     ~GrpcPeerTransport() override;
 
     void send(const Base::HostId &to, const std::string &address,
