--- a/src/libs/daemon/grpcpeerserver.cpp
+++ b/src/libs/daemon/grpcpeerserver.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Time that calls get to end when the server stops.
+/// Time that running calls have to finish when the server stops.
 constexpr std::chrono::milliseconds stopTimeout{500};
 
 class PeerService final : public Proto::Peer::CallbackService
--- a/src/libs/daemon/grpcpeerserver.h
+++ b/src/libs/daemon/grpcpeerserver.h
@@ -9,12 +9,12 @@
 
 namespace Daemon {
 
-/// Takes batches from the other routers and hands their messages to the core in order.
+/// Receives batches from the other routers and pushes their messages to the event ring in order.
 class GrpcPeerServer
 {
 public:
-    /// Starts to listen at \a address, "IP:PORT"; port 0 takes a free one. Fails with
-    /// CannotListen (httpfront.h).
+    /// Creates the server and starts to listen at \a address, "IP:PORT"; port 0 selects a free
+    /// port. Fails with CannotListen (httpserver.h).
     static Base::Result<std::unique_ptr<GrpcPeerServer>>
     create(const Base::HostId &self, const std::string &address, EventRing &ring);
     ~GrpcPeerServer();
