--- a/src/libs/daemon/address.h
+++ b/src/libs/daemon/address.h
@@ -9,13 +9,13 @@
 
 namespace Daemon {
 
-/// A text that is not "IP:PORT" with an IPv4 address.
+/// The text is not "IP:PORT" with an IPv4 address.
 struct MalformedAddress
 {
     std::string text;
 };
 
-/// Reads "IP:PORT". Fails with MalformedAddress.
+/// Parses "IP:PORT". Fails with MalformedAddress.
 Base::Result<sockaddr_in> parseAddress(const std::string &text);
 
 } // namespace Daemon
