--- a/src/libs/daemon/answerstream.cpp
+++ b/src/libs/daemon/answerstream.cpp
@@ -67,7 +67,7 @@
         m_isEnded = true;
         return;
     }
-    // Bytes have no place for an error: only the missing end can tell.
+    // A plain body cannot carry an error. Only its missing end shows that the answer failed.
     m_isAborted = true;
 }
 
--- a/src/libs/daemon/answerstream.h
+++ b/src/libs/daemon/answerstream.h
@@ -12,14 +12,14 @@
 
 namespace Daemon {
 
-/// How an answer that is sent piece by piece is framed.
+/// Framing of an answer that is sent piece by piece.
 enum class AnswerFraming {
-    Events, ///< Server-sent events with a final [DONE].
-    Bytes,  ///< The body of a service's answer as it came.
+    Events, ///< Server-sent events, the last of which is [DONE].
+    Bytes,  ///< The unchanged body of a service's answer.
 };
 
-/// What is left of an answer after its head, handed to the HTTP library piece by piece on the
-/// connection's thread. Its end closes the session.
+/// Passes an answer after its head to the HTTP library piece by piece, on the connection's thread.
+/// The destructor closes the session.
 class AnswerStream
 {
 public:
@@ -29,9 +29,10 @@
                  ClosedHandler closed);
     ~AnswerStream();
 
-    /// Waits for bytes and puts at most \a size of them at \a buf. Returns their number,
-    /// U_STREAM_END, or U_STREAM_ERROR, which cuts the connection so that a caller cannot take
-    /// the part for the whole.
+    /// Waits for bytes of the answer and copies at most \a size of them to \a buf. Returns their
+    /// number, U_STREAM_END at the end of the answer, or U_STREAM_ERROR if it failed.
+    /// U_STREAM_ERROR closes the connection without a proper end, so that a caller cannot mistake a
+    /// part of the answer for the whole.
     ssize_t read(char *buf, std::size_t size);
 
 private:
