--- a/src/libs/daemon/bufferedtransfer.h
+++ b/src/libs/daemon/bufferedtransfer.h
@@ -7,23 +7,28 @@
 
 namespace Daemon {
 
-/// The whole answer of a short call.
+/// The result of a BufferedTransfer.
 struct BufferedAnswer
 {
     CURLcode code = CURLE_OK;
+    /// Whether a byte of the request has left this process.
     bool isSent = false;
+    /// HTTP status; 0 if no head of an answer arrived.
     int status = 0;
     std::string body;
 
+    /// Whether the complete answer has arrived, with whatever status.
     bool isComplete() const { return code == CURLE_OK; }
 };
 
-/// A call whose answer is short and taken whole.
+/// An HTTP call whose short answer is buffered and passed on as a whole.
 class BufferedTransfer final : public HttpTransfer
 {
 public:
     using Done = std::function<void(const BufferedAnswer &)>;
 
+    /// Calls \a done when the transfer ends. Fails if the answer's body has more than \a
+    /// maxAnswerBytes.
     BufferedTransfer(const TransferRequest &request, std::size_t maxAnswerBytes, Done done);
 
     void finished(CURLcode code) override;
