--- a/src/libs/daemon/chatbody.cpp
+++ b/src/libs/daemon/chatbody.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::ordered_json;
 
-/// Text of the messages in order; parts that are not text count with their JSON.
+/// Returns the text of all messages in order. Content that is not a string is included as JSON.
 std::string textOf(const Json &messages)
 {
     std::string text;
