--- a/src/libs/daemon/chunkunits.cpp
+++ b/src/libs/daemon/chunkunits.cpp
@@ -10,7 +10,8 @@
 
 using Json = nlohmann::json;
 
-/// Larger counts are taken for damage, so that sums cannot overflow.
+/// Upper bound of a count. Larger ones come from damaged chunks; capping them keeps sums from
+/// overflowing.
 constexpr std::uint64_t maxTokenCount = 100000000;
 
 std::uint64_t countOf(const Json &json, const char *key)
