--- a/src/libs/daemon/completionassembler.h
+++ b/src/libs/daemon/completionassembler.h
@@ -8,13 +8,13 @@
 
 namespace Daemon {
 
-/// Makes one chat completion from the chunks of its stream, for a caller that did not ask for
-/// a stream. Chunks that are not JSON objects are left out.
+/// Assembles one chat completion from the chunks of its stream, for a caller that did not ask for a
+/// stream. Ignores chunks that are not JSON objects.
 class CompletionAssembler
 {
 public:
     void add(const std::string &chunk);
-    /// The JSON of the whole completion.
+    /// Returns the complete chat completion as JSON.
     std::string completion() const;
 
 private:
