--- a/src/libs/daemon/daemonsettings.h
+++ b/src/libs/daemon/daemonsettings.h
@@ -8,7 +8,8 @@
 
 namespace Daemon {
 
-/// A router known from the settings, for a start while the platform does not answer.
+/// A router that is known from the settings, so that the process can start while the platform does
+/// not answer.
 struct SeedRouter
 {
     Base::HostId host;
@@ -16,18 +17,18 @@
     std::string peerAddress;
 };
 
+/// Limits on the load that callers may put on one process.
 struct DaemonLimits
 {
-    /// Callers connected at the same time; the next one is refused with an answer.
+    /// Callers that may be connected at the same time; further ones are refused with an answer.
     std::size_t connections = 2000;
     /// Largest request body in bytes.
     std::size_t bodyBytes = 1048576;
-    /// Bytes of one answer that may wait for a slow caller before its stream is held back.
+    /// Bytes of one answer that may be buffered for a slow caller before its stream is paused.
     std::size_t streamBufferBytes = 262144;
 };
 
-/// What one router process is started with, as its settings file says. All addresses are
-/// "IP:PORT".
+/// The settings that one router process is started with. All addresses are "IP:PORT".
 struct DaemonSettings
 {
     Base::HostId host;
@@ -40,7 +41,7 @@
     DaemonLimits limits;
     /// "error", "warn", "info" or "debug".
     std::string logLevel = "info";
-    /// File that spans are written to; empty writes none.
+    /// File that spans are written to; if it is empty, none are written.
     std::string traceFile;
 };
 
