--- a/src/libs/daemon/eventring.h
+++ b/src/libs/daemon/eventring.h
@@ -5,8 +5,8 @@
 
 namespace Daemon {
 
-/// Joins every thread that hears from outside to the core's thread. The core pops and never
-/// pushes, so that no push waits for ever.
+/// Carries the events from all threads that receive input to the core's thread. The core's thread
+/// pops and never pushes, so that no push waits forever.
 using EventRing = Base::BoundedRing<Node::Event>;
 
 } // namespace Daemon
