--- a/src/libs/daemon/failuretext.h
+++ b/src/libs/daemon/failuretext.h
@@ -6,15 +6,15 @@
 
 namespace Daemon {
 
-/// The type's name towards callers, as docs/PROTOCOLS.md lists it.
+/// Returns the type's name in error bodies, such as "overloaded".
 const char *typeName(Node::FailureType type);
-/// The HTTP status that goes with the type.
+/// Returns the HTTP status that belongs to the type.
 int statusOf(Node::FailureType type);
-/// The JSON body of a refusal or failure.
+/// Returns the JSON body of a response that reports a failure.
 std::string failureBody(const Node::Failure &failure);
-/// As above for a type that only the HTTP front knows, such as "too_large".
+/// Does the same with a type that only the HTTP server uses, such as "too_large".
 std::string failureBody(const std::string &type, const Node::Failure &failure);
-/// Whole seconds for Retry-After, rounded up.
+/// Returns the value of a Retry-After header: whole seconds, rounded up.
 std::string retryAfterSeconds(Base::Milliseconds retryAfter);
 
 } // namespace Daemon
