--- a/src/libs/daemon/hangupwatcher.cpp
+++ b/src/libs/daemon/hangupwatcher.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Names the wake-up descriptor; callers are numbered from 1.
+/// Identifies the wake-up descriptor; the ids of callers start at 1.
 constexpr Node::CallerId stopId = 0;
 
 } // namespace
--- a/src/libs/daemon/hangupwatcher.h
+++ b/src/libs/daemon/hangupwatcher.h
@@ -9,27 +9,29 @@
 
 namespace Daemon {
 
-/// The system gave no descriptor for watching connections.
+/// The system provided no descriptor for watching connections.
 struct WatcherUnavailable
 {
+    /// The errno of the failed call.
     int error = 0;
 };
 
-/// Notices that a caller has closed its connection while its thread waits for the node and
-/// does not look at the socket.
+/// Detects that a caller has closed its connection while the connection's thread waits for the node
+/// and does not look at the socket.
 ///
-/// Without it the work of a caller that gave up would keep its place in the queue and run, and
-/// the loss would show only at the first write.
+/// Otherwise the request of a caller that gave up would stay in the queue and run, and the closed
+/// connection would show only at the first write.
 class HangupWatcher
 {
 public:
     using Handler = std::function<void(Node::CallerId)>;
 
-    /// \a handler is called on the watcher's own thread. Fails with WatcherUnavailable.
+    /// Creates the watcher, which calls \a handler on its own thread. Fails with
+    /// WatcherUnavailable.
     static Base::Result<std::unique_ptr<HangupWatcher>> create(Handler handler);
     ~HangupWatcher();
 
-    /// Reports once when the other side of \a socket closes.
+    /// Calls the handler once when the other side of \a socket closes the connection.
     void watch(int socket, Node::CallerId caller);
     void unwatch(int socket);
 
