--- a/src/libs/daemon/homemetrics.cpp
+++ b/src/libs/daemon/homemetrics.cpp
@@ -29,7 +29,7 @@
 
 void HomeMetrics::nodeChanged(const Node::Node &node)
 {
-    // A shard whose home moved away must not keep its last figures.
+    // A shard whose home has moved to another router must not keep its last values.
     resetGauges();
     for (const auto &[key, home] : node.homes().all()) {
         const Labels labels{key.first.value(), std::to_string(key.second)};
--- a/src/libs/daemon/homemetrics.h
+++ b/src/libs/daemon/homemetrics.h
@@ -10,8 +10,9 @@
 
 namespace Daemon {
 
-/// Shows what this router sees as a home: the fairness gap of each pool shard, and for each
-/// backend server how much of it is in use.
+/// Publishes the metrics of the pool shards whose home is this router. The home of a shard queues
+/// the shard's requests and gives out the permits to run them on its backend servers. The metrics
+/// are the fairness gap of each shard, and how much of each backend server is in use.
 class HomeMetrics final : public NodeWatcher
 {
 public:
