--- a/src/libs/daemon/httprequest.h
+++ b/src/libs/daemon/httprequest.h
@@ -5,7 +5,7 @@
 
 namespace Daemon {
 
-/// The header fields of a request that mean something here; empty when absent.
+/// The header fields of a request that the router uses. A field is empty if it is absent.
 struct RequestFields
 {
     std::string authorization;
@@ -18,19 +18,20 @@
     std::string ifMatch;
 };
 
-/// One HTTP request as it came.
+/// One HTTP request as received.
 struct HttpRequest
 {
     std::string method;
-    /// As in the request line, with the query.
+    /// The target of the request line, including the query.
     std::string target;
     RequestFields fields;
     std::string body;
 };
 
-/// The path of a request's target, without the query.
+/// Returns the path of a request's target, without the query.
 std::string pathOf(const std::string &target);
-/// The value of \a name in a request's query; empty if there is none.
+/// Returns the value of \a name in the query of a request's target, without decoding it; empty if
+/// there is none.
 std::string queryValue(const std::string &target, const std::string &name);
 
 } // namespace Daemon
