--- a/src/libs/daemon/httpresponse.cpp
+++ b/src/libs/daemon/httpresponse.cpp
@@ -56,7 +56,7 @@
 {
     Json hosts = Json::array();
     for (const Node::EntryHost &host : list.hosts) {
-        // Known from the seeds only: where it serves callers is not known yet.
+        // The address for callers of a host that is known only from the seeds is not known yet.
         if (host.address.empty())
             continue;
         hosts.push_back({{"address", host.address}, {"zone", host.zone.value()}});
--- a/src/libs/daemon/httpresponse.h
+++ b/src/libs/daemon/httpresponse.h
@@ -8,13 +8,14 @@
 
 namespace Daemon {
 
-/// Fills in a whole JSON answer.
+/// Sets a complete JSON response.
 void respondJson(_u_response &response, int status, const std::string &body);
+/// Sets a complete response; an empty \a contentType sets no Content-Type.
 void respondText(_u_response &response, int status, const std::string &contentType,
                  const std::string &body);
-/// Fills in the error response of \a failure, with X-Request-Id and Retry-After.
+/// Sets the error response of \a failure, with X-Request-Id and, where it applies, Retry-After.
 void respondFailure(_u_response &response, const Node::Failure &failure);
-/// As above with a status and a type that only the HTTP front knows.
+/// Does the same with a status and a type that only the HTTP server uses.
 void respondFailure(_u_response &response, int status, const std::string &type,
                     const Node::Failure &failure);
 void respondEntryHosts(_u_response &response, const Node::EntryHostList &list);
