--- a/src/libs/daemon/httptransfer.cpp
+++ b/src/libs/daemon/httptransfer.cpp
@@ -16,7 +16,7 @@
     return text.substr(begin, text.find_last_not_of(" \t\r\n") - begin + 1);
 }
 
-/// The status of "HTTP/1.1 200 OK"; 0 if the line is no status line.
+/// Returns the status of a line such as "HTTP/1.1 200 OK", or 0 if it is no status line.
 int parseStatusLine(std::string_view line)
 {
     const std::size_t blank = line.find(' ');
@@ -59,8 +59,8 @@
         return 0;
     }
 
-    /// Stops the library from sending a request a second time by itself, which it does when a
-    /// kept connection dies before an answer: the first copy may have run.
+    /// Keeps the library from sending a request a second time by itself, which it does when an idle
+    /// connection dies before the answer. The first copy may have run.
     static int beforeSending(void *transfer, char *, char *, int, int)
     {
         return static_cast<HttpTransfer *>(transfer)->m_isSent ? CURL_PREREQFUNC_ABORT
--- a/src/libs/daemon/httptransfer.h
+++ b/src/libs/daemon/httptransfer.h
@@ -12,21 +12,21 @@
 
 namespace Daemon {
 
-/// What one HTTP request is made of.
+/// The parts of one outgoing HTTP request.
 struct TransferRequest
 {
     std::string method = "GET";
     std::string url;
-    /// "Name: value".
+    /// Header lines of the form "Name: value".
     std::vector<std::string> headers;
     std::string body;
-    /// Whether a kept connection may carry it. A server may close a kept connection just as
-    /// the request goes out, and then nobody knows whether it ran.
+    /// Whether the request may use an idle connection. A server may close an idle connection just
+    /// as the request is sent, and then it is unknown whether the request ran.
     bool mayReuseConnection = true;
     Base::TimePoint deadline;
 };
 
-/// One HTTP request of this process and its answer, on the thread of a TransferLoop.
+/// One outgoing HTTP request and its answer. It runs on the thread of a TransferLoop.
 class HttpTransfer
 {
 public:
@@ -34,22 +34,24 @@
     HttpTransfer(const HttpTransfer &) = delete;
     HttpTransfer &operator=(const HttpTransfer &) = delete;
 
+    /// The library's handle; null if the library provided none.
     CURL *handle() const { return m_handle.get(); }
     /// Whether a byte of the request has left this process, on any connection.
     bool isSent() const { return m_isSent; }
-    /// HTTP status; 0 before the answer's head came.
+    /// HTTP status of the answer; 0 until its head arrives.
     int status() const { return m_status; }
     bool isExpired(Base::TimePoint now) const { return now >= m_deadline; }
 
-    /// The transfer is over, with \a code. Called once, unless the loop is told to drop it.
+    /// Called once when the transfer ends, with the library's result \a code. A transfer that is
+    /// dropped from its loop gets no call.
     virtual void finished(CURLcode code) = 0;
 
 protected:
     explicit HttpTransfer(const TransferRequest &request);
 
-    /// Values longer than the header's line never come.
+    /// Called for each header line; \a value is trimmed and never spans several lines.
     virtual void receiveHeader(std::string_view name, std::string_view value) = 0;
-    /// Returns whether to go on; false fails the transfer.
+    /// Called for each piece of the body. Returns whether to continue; false fails the transfer.
     virtual bool receiveBody(std::string_view bytes) = 0;
     void setDeadline(Base::TimePoint deadline) { m_deadline = deadline; }
 
