--- a/src/libs/daemon/keydigest.h
+++ b/src/libs/daemon/keydigest.h
@@ -5,7 +5,8 @@
 
 namespace Daemon {
 
-/// SHA-256 of \a key in lower-case hex. The key itself is not kept anywhere.
+/// Returns the SHA-256 digest of \a key in lower-case hex, or an empty string if it cannot be
+/// computed. The key itself is not stored.
 std::string keyDigest(std::string_view key);
 
 } // namespace Daemon
