--- a/src/libs/daemon/peerqueue.h
+++ b/src/libs/daemon/peerqueue.h
@@ -8,22 +8,22 @@
 
 namespace Daemon {
 
-/// Messages that wait for one peer, bounded.
+/// Bounded queue of the messages to one peer.
 ///
-/// Answers the load pattern of a peer that is gone or slow while work for it goes on. Without
-/// the bound its messages would pile up until the process dies. When full, the oldest
-/// heartbeat goes first: a newer one says all that it said. Without one the oldest message
-/// goes, which the node copes with as with any lost message.
+/// The bound limits the memory used when a peer is gone or slow while messages for it keep coming.
+/// A full queue drops its oldest heartbeat first, because a newer heartbeat supersedes it. Without
+/// a heartbeat it drops its oldest message, which the node handles like any lost message.
 class PeerQueue
 {
 public:
     explicit PeerQueue(std::size_t capacity);
 
     void push(const Node::PeerMessage &message);
-    /// At most \a limit messages, oldest first.
+    /// Removes and returns at most \a limit messages, oldest first.
     std::vector<Node::PeerMessage> take(std::size_t limit);
     bool isEmpty() const { return m_messages.empty(); }
     std::size_t size() const { return m_messages.size(); }
+    /// Returns the number of messages dropped so far.
     std::size_t dropped() const { return m_dropped; }
 
 private:
