--- a/src/libs/daemon/platformcodec.h
+++ b/src/libs/daemon/platformcodec.h
@@ -9,14 +9,16 @@
 
 namespace Daemon {
 
-/// An answer of the platform that cannot be read.
+/// The answer of the platform cannot be parsed.
 struct MalformedPlatformAnswer
 {};
 
+/// Returns the JSON body of a table transaction.
 std::string encodeWrites(const std::vector<Storage::TableWrite> &writes);
-/// Fails with MalformedPlatformAnswer; any bytes are safe.
+/// Decodes the rows of a table answer. Fails with MalformedPlatformAnswer; safe for any input.
 Base::Result<std::vector<Storage::TableRow>> decodeRows(const std::string &text);
-/// Fails with MalformedPlatformAnswer; any bytes are safe. Hosts of unknown roles are left out.
+/// Decodes the host list; hosts of unknown roles are left out. Fails with MalformedPlatformAnswer;
+/// safe for any input.
 Base::Result<Storage::HostListing> decodeListing(const std::string &text);
 
 } // namespace Daemon
