--- a/src/libs/daemon/processstate.h
+++ b/src/libs/daemon/processstate.h
@@ -5,14 +5,14 @@
 
 namespace Daemon {
 
-/// What the core's thread tells the others about the node.
+/// State of the process that several threads read.
 struct ProcessState
 {
     std::atomic<bool> isReady = false;
     std::atomic<bool> isLeaving = false;
 };
 
-/// Gives the text of /metrics. Called on any thread.
+/// Provides the text of /metrics. Called on any thread.
 class MetricsPage
 {
 public:
