--- a/src/libs/daemon/requestlog.h
+++ b/src/libs/daemon/requestlog.h
@@ -6,10 +6,12 @@
 
 namespace Daemon {
 
-/// Sets up logging to standard error: one line each with time and level.
+/// Sets up logging to standard error, one line per message with time and level. \a level is one of
+/// the levels of DaemonSettings.
 void startLogging(const std::string &level);
 
-/// Writes a line for each request: its id, customer, class and outcome; never a key or a body.
+/// Logs a line for each finished request with its id, customer, class and outcome, and a line for
+/// each retry. Keys and bodies are never logged.
 class RequestLog final : public Node::NodeObserver
 {
 public:
