--- a/src/libs/daemon/sseparser.cpp
+++ b/src/libs/daemon/sseparser.cpp
@@ -11,7 +11,7 @@
 Base::Result<void> SseParser::feed(std::string_view bytes, std::vector<SseEvent> &events)
 {
     for (const char it : bytes) {
-        // CR, LF and CRLF each end one line; the halves of a CRLF may come apart.
+        // CR, LF and CRLF each end one line. A CRLF may be divided between two calls.
         const bool isCrlfLineFeed = it == '\n' && m_wasCarriageReturn;
         m_wasCarriageReturn = it == '\r';
         if (isCrlfLineFeed)
--- a/src/libs/daemon/sseparser.h
+++ b/src/libs/daemon/sseparser.h
@@ -9,6 +9,7 @@
 
 namespace Daemon {
 
+/// One server-sent event; a field that is absent is empty.
 struct SseEvent
 {
     std::string name;
@@ -18,20 +19,21 @@
     bool operator==(const SseEvent &) const = default;
 };
 
-/// An event is longer than the reader allows.
+/// An event is longer than the parser allows.
 struct EventTooLarge
 {
     std::size_t limit = 0;
 };
 
-/// Cuts a byte stream into server-sent events, however the bytes are split on their way.
+/// Splits a byte stream into server-sent events, regardless of how the stream is divided into
+/// pieces.
 class SseParser
 {
 public:
     explicit SseParser(std::size_t maxEventBytes);
 
-    /// Adds the events that \a bytes completes to \a events. Fails with EventTooLarge; the
-    /// parser is then of no further use. Any bytes are safe.
+    /// Appends the events that \a bytes completes to \a events. Fails with EventTooLarge; the
+    /// parser must not be used after that. Safe for any input.
     Base::Result<void> feed(std::string_view bytes, std::vector<SseEvent> &events);
 
 private:
