--- a/src/libs/daemon/ssewriter.h
+++ b/src/libs/daemon/ssewriter.h
@@ -5,12 +5,12 @@
 
 namespace Daemon {
 
-/// One server-sent event. A line break in \a data starts a further data line.
+/// Returns one server-sent event. A line break in \a data starts another data line.
 std::string sseEvent(std::string_view data);
-/// As above with an event name.
+/// Does the same with an event name.
 std::string sseEvent(std::string_view name, std::string_view data);
 
-/// Ends a whole stream of a model.
+/// Data of the event that ends a complete stream of a model.
 inline constexpr std::string_view doneMarker = "[DONE]";
 
 } // namespace Daemon
