--- a/src/libs/daemon/urlencoding.h
+++ b/src/libs/daemon/urlencoding.h
@@ -5,7 +5,8 @@
 
 namespace Daemon {
 
-/// \a text as one part of a URL: all but letters, digits and "-._~" as %XX.
+/// Returns \a text encoded as one part of a URL: each character but letters, digits and "-._~"
+/// becomes %XX.
 std::string percentEncoded(std::string_view text);
 
 } // namespace Daemon
