--- a/tests/auto/daemon/scriptedserver.cpp
+++ b/tests/auto/daemon/scriptedserver.cpp
@@ -30,7 +30,7 @@
     return ntohs(address.sin_port);
 }
 
-/// Appends what comes next; false when the other side has closed.
+/// Appends the next bytes to \a text. Returns false when the other side has closed the connection.
 bool readMore(int socket, std::string &text)
 {
     std::array<char, 65536> buf{};
--- a/tests/auto/daemon/scriptedserver.h
+++ b/tests/auto/daemon/scriptedserver.h
@@ -17,13 +17,14 @@
         : m_socket(socket)
     {}
 
-    /// The head and the body of the next request; empty when the other side has closed.
+    /// Returns the head and the body of the next request, or nothing if the other side has closed
+    /// the connection.
     std::string readRequest();
-    /// Whether all was taken by the system.
+    /// Sends \a bytes. Returns whether the system has accepted all of them.
     bool write(const std::string &bytes);
-    /// Waits until the other side closes.
+    /// Waits until the other side closes the connection.
     void waitForClose();
-    /// Closes with a reset, so that bytes on their way are lost.
+    /// Makes the connection end with a reset, so that bytes in transit are lost.
     void reset();
 
 private:
@@ -31,8 +32,8 @@
     std::string m_pending;
 };
 
-/// A server that does to each connection what the test says, byte by byte. A library's server
-/// would not cut an answer where a test wants it cut.
+/// A server that runs the test's script for each connection and so controls every byte. The server
+/// of a library could not cut an answer at an arbitrary place.
 class ScriptedServer
 {
 public:
@@ -42,7 +43,7 @@
     ~ScriptedServer();
 
     std::string address() const { return "127.0.0.1:" + std::to_string(m_port); }
-    /// Connections taken so far.
+    /// Returns the number of connections accepted so far.
     int connections() const { return m_connections; }
 
 private:
@@ -58,13 +59,15 @@
     std::thread m_acceptor;
 };
 
-/// "IP:PORT" at which nobody listens.
+/// Returns an "IP:PORT" at which no process listens.
 std::string unusedAddress();
 
-/// A connection to \a port of this host.
+/// Returns a socket that is connected to \a port of this host, or -1.
 int connectTo(std::uint16_t port);
-/// Sends \a request and reads until the other side closes or \a until has come.
+/// Sends \a request and returns what arrives until the other side closes the connection or \a until
+/// has arrived.
 std::string exchange(std::uint16_t port, const std::string &request, const std::string &until = {});
-/// Reads on from \a socket until the other side closes or \a until has come.
+/// Returns what arrives at \a socket until the other side closes the connection or \a until has
+/// arrived.
 std::string readFrom(int socket, const std::string &until = {});
 void writeTo(int socket, const std::string &bytes);
