--- a/tests/auto/daemon/tst_backendclient.cpp
+++ b/tests/auto/daemon/tst_backendclient.cpp
@@ -36,7 +36,7 @@
     return request;
 }
 
-/// A client and what it tells the node.
+/// A client, and the events that it pushes for the node.
 class Fixture
 {
 public:
@@ -51,7 +51,7 @@
     HttpBackendClient &client() { return *m_client; }
     EventRing &ring() { return m_ring; }
 
-    /// The next event; the limit only ends a test that would hang.
+    /// Returns the next event. The time limit only keeps a failing test from hanging.
     Node::Event next()
     {
         const auto event = m_ring.popFor(std::chrono::seconds(20));
@@ -96,7 +96,7 @@
 
 } // namespace
 
-TEST_CASE("A stream arrives part by part, with its units, and ends whole")
+TEST_CASE("A stream arrives part by part with its units, and is finished")
 {
     std::string seen;
     const ScriptedServer server([&](ScriptedConnection &it) {
@@ -122,10 +122,10 @@
         CHECK(seen.find(header) != std::string::npos);
 }
 
-// What a user would see: "not run" of work that ran, or a retry of work that was never sent
-// given up as unknown. Order: the connection fails before, while or after the request leaves.
-// Cause: one kind of failure taken for another.
-TEST_CASE("Only what never left this process is told as never sent")
+// Guards against reporting work that ran as "not run", and against giving up a retry of work that
+// was never sent. Both happen if a failure before the request leaves is mistaken for one during or
+// after it, or the other way round.
+TEST_CASE("Only a request that never left this process is reported as never sent")
 {
     CHECK(failureAt(unusedAddress()).sent == SendState::NeverSent);
     CHECK(failureAt("not an address").sent == SendState::NeverSent);
@@ -143,7 +143,7 @@
           == SendState::MaybeRan);
 }
 
-TEST_CASE("An error status says what it can say")
+TEST_CASE("A failed attempt reports its status, X-Not-Run and Retry-After")
 {
     const Node::BackendFailed refused = failureAnswered(
         fixedAnswer("HTTP/1.1 409 Conflict\r\nX-Not-Run: yes\r\nRetry-After: 3\r\n", "{}"));
@@ -156,10 +156,9 @@
     CHECK_FALSE(broken.retryAfter);
 }
 
-// What a user would see: half an answer taken for the whole. Order: some parts come, then the
-// server dies or tells an error. Cause: the end of the connection taken for the end of the
-// answer.
-TEST_CASE("A stream cut before its end has failed")
+// Guards against taking part of an answer for the whole. Some parts arrive, then the server dies or
+// reports an error; the end of the connection is not the end of the answer.
+TEST_CASE("A stream that is cut before its end fails")
 {
     const auto failsAfterOne = [](const std::string &rest) {
         const ScriptedServer server([&](ScriptedConnection &it) {
@@ -178,10 +177,10 @@
     CHECK(failsAfterOne("data: " + std::string(2000000, 'x')));
 }
 
-// What a user would see: a deposit held twice. Order: a call goes out on a kept connection, the
-// server takes it and dies before it answers, and the client library sends the call again on a
-// new connection by itself. Cause: the library takes a kept connection that dies early for one
-// that was dead already.
+// Guards against running a call twice, such as holding a deposit twice. A call goes out on an idle
+// connection that the library has kept, and the server reads it and dies before it answers. The
+// library then takes the connection for one that was already dead, and sends the call again on a
+// new connection by itself.
 TEST_CASE("A request is never sent a second time by the library")
 {
     std::atomic<int> calls = 0;
@@ -249,7 +248,7 @@
     CHECK(fixture.expect<Node::BackendFailed>().sent == SendState::Refused);
 }
 
-TEST_CASE("A cancelled stream is closed, ordered to stop, and not heard of again")
+TEST_CASE("Cancelling a stream closes it, sends DELETE and causes no further event")
 {
     Base::BoundedRing<std::string> observed(4);
     const ScriptedServer server([&](ScriptedConnection &it) {
@@ -276,9 +275,9 @@
     CHECK(fixture.ring().size() == 0);
 }
 
-// What a user would see: the process of everybody grows until it dies. Order: a caller stops
-// reading, its server goes on. Cause: an answer that nobody reads is read from its server.
-TEST_CASE("A paused stream is not read, and goes on where it was")
+// Guards against memory that grows until the process dies. A caller stops reading while its server
+// continues, so an answer that nobody takes must not be read from the server.
+TEST_CASE("A paused stream is not read, and resumes where it stopped")
 {
     constexpr int events = 4000;
     const std::string filler(8000, 'x');
@@ -289,7 +288,7 @@
             it.write(event(i, filler));
         it.write("data: [DONE]\n\n");
     });
-    // Nothing but the pause holds the client back.
+    // Only the pause can stop the client: the ring has room for all events.
     constexpr std::size_t ringCapacity = 16000;
     Fixture fixture(ringCapacity);
     const Node::BackendRequest request = requestTo(server.address());
@@ -297,14 +296,15 @@
     fixture.expect<Node::BackendHead>();
     fixture.expect<Node::BackendPart>();
     fixture.client().pause(request.attempt);
-    // The loop runs its tasks in order: once the poll is answered, the stream is paused. Parts
-    // that were on their way come before the answer.
+    // The loop runs its tasks in order, so the stream is paused once the poll is answered. Parts
+    // that were under way arrive before the answer to the poll.
     fixture.client().pollLoad(Base::ServerId("m2"), unusedAddress());
     int parts = 1;
     while (std::holds_alternative<Node::BackendPart>(fixture.next()))
         ++parts;
     REQUIRE(parts < events);
-    // Another stream of the same length comes whole meanwhile, and not a part of this one.
+    // Meanwhile another stream of the same length arrives completely, and no part of the paused
+    // one.
     Node::BackendRequest other = request;
     other.attempt.number = 2;
     fixture.client().send(other);
@@ -320,7 +320,7 @@
     CHECK(fixture.expect<Node::BackendFinished>().parts == events);
 }
 
-TEST_CASE("A server that cannot be reached is told so")
+TEST_CASE("A load poll reports an unreachable server")
 {
     Fixture fixture;
     fixture.client().pollLoad(Base::ServerId("m1"), unusedAddress());
