--- a/tests/auto/daemon/tst_callersession.cpp
+++ b/tests/auto/daemon/tst_callersession.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("A slow caller holds back its own stream, and no other")
+TEST_CASE("A slow caller pauses its own stream and no other")
 {
     EventRing ring(16);
     CallerSessions sessions(bufferLimit, ring);
@@ -42,7 +42,7 @@
     CHECK(isNext<Node::CallerReady>(ring));
 }
 
-TEST_CASE("Blocked and ready alternate, and the buffer is told full in time")
+TEST_CASE("Blocked and ready alternate, and a full buffer is reported in time")
 {
     rc::prop("any order of puts and takes", [] {
         EventRing ring(256);
@@ -71,7 +71,7 @@
     });
 }
 
-TEST_CASE("The node hears once that a caller has gone, and not after the whole answer")
+TEST_CASE("CallerGone is pushed once, and not after a complete answer")
 {
     EventRing ring(16);
     CallerSessions sessions(bufferLimit, ring);
