--- a/tests/auto/daemon/tst_httpfront.cpp
+++ b/tests/auto/daemon/tst_httpfront.cpp
@@ -22,7 +22,7 @@
     std::string text() override { return "metrics\n"; }
 };
 
-/// An HTTP front whose core is the test: it takes the events and says what comes of them.
+/// An HTTP server whose core is the test: the test takes the events and answers the callers.
 class Fixture
 {
 public:
@@ -119,7 +119,7 @@
 
 } // namespace
 
-TEST_CASE("A stream goes out as events and ends with its mark")
+TEST_CASE("A stream is sent as events and ends with the done marker")
 {
     Fixture fixture;
     const int socket = connectTo(fixture.port());
@@ -138,7 +138,7 @@
     CHECK(fixture.hasNoEvents());
 }
 
-TEST_CASE("A caller that wants no stream gets one completion")
+TEST_CASE("A caller that did not ask for a stream gets one completion")
 {
     Fixture fixture;
     const int socket = connectTo(fixture.port());
@@ -158,7 +158,7 @@
     CHECK(json["usage"]["prompt_tokens"] == 3);
 }
 
-TEST_CASE("A failure shows, before and after the answer has begun")
+TEST_CASE("A failure is reported before and after the answer has begun")
 {
     Fixture fixture;
     const auto answerOf = [&](bool isStreaming, bool isBegun) {
@@ -185,9 +185,9 @@
     CHECK(begun.find("[DONE]") == std::string::npos);
 }
 
-// What a user would see: half a document taken for the whole. Order: a service's answer has
-// begun, its server dies. Cause: a body that just ends looks complete.
-TEST_CASE("A service's answer that is cut has no proper end")
+// Guards against taking part of a document for the whole. A service's answer has begun when its
+// server dies; a body that ended properly then would look complete.
+TEST_CASE("A service's answer that fails midway has no final chunk")
 {
     Fixture fixture;
     const auto answerOf = [&](bool isComplete) {
@@ -211,8 +211,8 @@
     CHECK(answerOf(false).find(lastChunk) == std::string::npos);
 }
 
-// What a user would see: work of callers who gave up is run while others wait. Order: a caller
-// waits in the queue or in its stream, and hangs up. Cause: nobody looks at its connection.
+// Guards against running the work of callers that gave up while others wait. A caller hangs up
+// while it waits in the queue or while its stream is sent, and no thread looks at its connection.
 TEST_CASE("A caller that hangs up is noticed while it waits and while it is served")
 {
     Fixture fixture;
@@ -229,10 +229,10 @@
     CHECK(fixture.expect<Node::CallerGone>().caller == asked.caller);
 }
 
-// What a user would see: one caller that does not read makes the process grow, or stops others.
-// Order: it opens a stream and reads nothing while its answer comes. Cause: no bound, or one
-// thread for all.
-TEST_CASE("A caller that does not read is held back alone")
+// Guards against a caller that makes the process grow or blocks other callers. It opens a stream
+// and reads nothing while its answer arrives; an unbounded buffer, or one thread for all callers,
+// would cause either.
+TEST_CASE("A caller that does not read blocks only its own stream")
 {
     Fixture fixture;
     const int slow = connectTo(fixture.port());
@@ -241,7 +241,7 @@
     fixture.sessions().startAnswer(asked.caller, chatHead);
     std::vector<Node::Event> ownEvents;
     std::size_t sent = 0;
-    // The system's own buffers take some megabytes first.
+    // The system's own buffers accept several megabytes first.
     constexpr std::size_t maxSentBytes = 100000000;
     while (ownEvents.empty() && sent < maxSentBytes) {
         fixture.sessions().appendAnswer(asked.caller, chunk(std::string(1000, 'x')));
@@ -258,9 +258,9 @@
     CHECK(fixture.expect<Node::CallerReady>().caller == asked.caller);
 }
 
-// What a user would see: a closed connection, as if the process had died. Order: more callers
-// connect than the process is sized for. Cause: the library closes what is past its limit.
-TEST_CASE("Past the limit each caller is told to come back")
+// Guards against closed connections that look as if the process had died. More callers connect than
+// the process is sized for, and the HTTP library closes the connections beyond its own limit.
+TEST_CASE("Each caller beyond the connection limit is told to retry")
 {
     constexpr std::size_t limit = 5;
     Fixture fixture(limit);
@@ -303,7 +303,7 @@
     CHECK(fixture.hasNoEvents());
 }
 
-TEST_CASE("Operators' pages")
+TEST_CASE("The pages and lists for operators and callers are served")
 {
     Fixture fixture;
     CHECK(bodyOf(exchange(fixture.port(), get("/metrics"))) == "metrics\n");
