--- a/tests/auto/daemon/tst_peerqueue.cpp
+++ b/tests/auto/daemon/tst_peerqueue.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("A full queue gives up old heartbeats before work")
+TEST_CASE("A full queue drops old heartbeats before other messages")
 {
     PeerQueue queue(3);
     queue.push(heartbeat(1));
