--- a/tests/auto/daemon/tst_peertransport.cpp
+++ b/tests/auto/daemon/tst_peertransport.cpp
@@ -58,7 +58,7 @@
     CHECK(sent.size() == 0);
 }
 
-TEST_CASE("A peer that is gone is told, and found again when it is back")
+TEST_CASE("An unreachable peer is reported, and reached again when it is back")
 {
     EventRing sent(64);
     EventRing arrived(64);
@@ -71,7 +71,7 @@
 
     auto created = GrpcPeerServer::create(Base::HostId("r2"), address, arrived);
     REQUIRE(created);
-    // Each failed call is told; after some the library has connected anew.
+    // Each failed call is reported; after some of them the library has reconnected.
     std::uint64_t serial = 1;
     while (arrived.size() == 0) {
         peers->send(Base::HostId("r2"), address, cancelOf(++serial));
@@ -80,9 +80,9 @@
     CHECK(std::holds_alternative<Node::PeerMessageArrived>(*arrived.popFor(eventTimeout)));
 }
 
-// What a user would see: a router that stops serving because another one hangs. Order: a peer
-// is frozen while work for it goes on. Cause: messages for it pile up, or the core waits.
-TEST_CASE("A frozen peer holds nobody up, and its calls end")
+// Guards against a router that stops serving because another one hangs. A peer is unresponsive
+// while messages for it keep coming; they must neither fill the memory nor make the core wait.
+TEST_CASE("An unresponsive peer blocks no other thread, and its calls time out")
 {
     const ScriptedServer unresponsive([](ScriptedConnection &it) { it.waitForClose(); });
     EventRing sent(64);
