--- a/tests/auto/daemon/tst_platformclient.cpp
+++ b/tests/auto/daemon/tst_platformclient.cpp
@@ -17,7 +17,7 @@
            + body;
 }
 
-/// What a write comes to at a server that does \a script.
+/// Returns the status of a write to the platform at \a address.
 TableStatus writeAt(const std::string &address)
 {
     EventRing ring(16);
@@ -48,10 +48,9 @@
 
 } // namespace
 
-// What a user would see: "not run" of work that ran. Order: a claim is written, the table
-// commits it, its answer is cut, and the router takes that for a write that was not done.
-// Cause: no answer and not sent are told as the same.
-TEST_CASE("A write whose answer is lost is unknown, one that never left is not done")
+// Guards against reporting work that ran as "not run". A claim is written, the table commits it and
+// its answer is cut; a lost answer must not be taken for a write that was never sent.
+TEST_CASE("A write whose answer is lost is unknown, and one that was never sent is not done")
 {
     CHECK(writeAt(unusedAddress()) == TableStatus::NotDone);
     CHECK(writeWith([](ScriptedConnection &it) { it.readRequest(); }) == TableStatus::Unknown);
@@ -69,7 +68,7 @@
     CHECK(writeAnswered("500 Broken", "{}") == TableStatus::Unknown);
 }
 
-TEST_CASE("Any answer of the platform is read or refused")
+TEST_CASE("Any answer of the platform is decoded or refused")
 {
     rc::prop("arbitrary bytes", [](const std::string &bytes) {
         boost::leaf::try_handle_all(
