--- a/tests/auto/daemon/tst_requestparser.cpp
+++ b/tests/auto/daemon/tst_requestparser.cpp
@@ -66,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("A whole chat request is read")
+TEST_CASE("All fields of a chat request are parsed")
 {
     HttpRequest request = chat();
     request.fields.repeatable = "no";
@@ -81,7 +81,7 @@
     CHECK(read.promptTokens == 1);
     CHECK(read.prefix != 0);
     CHECK(read.traceparent == request.fields.traceparent);
-    // printf abc | sha256sum
+    // The expected digest is the output of "printf abc | sha256sum".
     CHECK(read.keyDigest == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
@@ -93,7 +93,7 @@
     CHECK(asked(request).body == R"({"model":"m","messages":[],"stream":true})");
 }
 
-TEST_CASE("Prompts that start alike have the same prefix")
+TEST_CASE("Prompts with the same start have the same prefix hash")
 {
     const std::string common(2000, 'a');
     const auto prefix = [](const std::string &text) {
@@ -105,7 +105,7 @@
     CHECK(prefix("b" + common) != prefix("c" + common));
 }
 
-TEST_CASE("Each fault of a request has its type")
+TEST_CASE("Each fault of a request is reported as such")
 {
     HttpRequest request = chat();
     request.target = "/v1/nothing";
@@ -140,7 +140,7 @@
     CHECK(parse(targetWrite(R"({"startWithinMs":5,"claim":1})")).request);
 }
 
-TEST_CASE("Any request is read or refused with a type")
+TEST_CASE("Any request is parsed or refused with a fault")
 {
     rc::prop("arbitrary requests", [] {
         HttpRequest request;
