--- a/tests/auto/daemon/tst_sseparser.cpp
+++ b/tests/auto/daemon/tst_sseparser.cpp
@@ -19,7 +19,7 @@
     return events;
 }
 
-/// Cuts \a text at arbitrary places.
+/// Splits \a text at arbitrary places.
 std::vector<std::string> cut(const std::string &text)
 {
     std::vector<std::string> pieces;
@@ -40,9 +40,9 @@
 
 } // namespace
 
-TEST_CASE("Events come out whole however their bytes are cut")
+TEST_CASE("Events are parsed regardless of how their bytes are split")
 {
-    rc::prop("what the writer writes is what the parser reads", [] {
+    rc::prop("the parser returns the events that the writer was given", [] {
         std::string text;
         std::vector<SseEvent> written;
         const int n = *rc::gen::inRange(0, 8);
