--- a/src/libs/daemon/grpcpeertransport.cpp
+++ b/src/libs/daemon/grpcpeertransport.cpp
@@ -43,11 +43,11 @@
     std::shared_ptr<Proto::Peer::Stub> stub;
 };
 
-/// The state of one peer. It owns the peer's last call, so that the call is not freed by its own
-/// callback. Otherwise the last reference to a channel could be released on one of gRPC's own
-/// threads, which would then wait for itself and free what gRPC's other threads still use; the
-/// process would abort while it exits. The last calls are freed on the thread that destroys the
-/// transport.
+/// The state of one peer. It owns the peer's calls; a callback never owns one. So the last calls,
+/// and with them the last references to a channel, are freed on the thread that destroys the
+/// transport. If one of gRPC's own threads released the last reference to a channel, it would wait
+/// for itself and free what gRPC's other threads still use, and the process would abort while it
+/// exits.
 struct GrpcPeerTransport::Peer
 {
     explicit Peer(const Base::HostId &name)
