--- a/src/libs/daemon/daemonconstants.h
+++ b/src/libs/daemon/daemonconstants.h
@@ -46,7 +46,7 @@
 inline constexpr std::size_t maxPlatformAnswerBytes = 16777216;
 
 inline constexpr Base::Milliseconds peerCallTimeout{1000};
-/// Messages that may wait for one peer. At 24 servers per shard this is several seconds of work.
+/// Messages that may wait for one peer. At 24 servers per shard this is some seconds of work.
 inline constexpr std::size_t peerQueueCapacity = 4096;
 /// Messages in one call; this keeps a batch well below gRPC's limit of 4 MiB.
 inline constexpr std::size_t maxMessagesPerBatch = 512;
