--- a/src/libs/claims/claimbook.h
+++ b/src/libs/claims/claimbook.h
@@ -104,7 +104,7 @@
     void collect();
 
     ClaimPolicy m_policy;
-    ClaimRows m_rows;
+    ClaimProcessor m_rows;
     std::map<Base::RequestKey, ClaimId> m_byRequest;
     std::map<ClaimId, Base::RequestKey> m_requests;
     std::map<std::string, LiveKey> m_liveKeys;
--- a/src/libs/claims/claimrows.cpp
+++ b/src/libs/claims/claimrows.cpp
@@ -18,9 +18,9 @@
 
 } // namespace
 
-ClaimRows::ClaimRows(const ClaimPolicy &policy, const Base::HostId &self,
-                     Base::Incarnation incarnation, Storage::TableService &table,
-                     Storage::OperationIds &operations, Base::RandomSource &random)
+ClaimProcessor::ClaimProcessor(const ClaimPolicy &policy, const Base::HostId &self,
+                               Base::Incarnation incarnation, Storage::TableService &table,
+                               Storage::OperationIds &operations, Base::RandomSource &random)
     : m_policy(policy)
     , m_self(self)
     , m_incarnation(incarnation)
@@ -29,7 +29,8 @@
     , m_reader(policy.largestReads, table, operations)
 {}
 
-ClaimId ClaimRows::begin(const ClaimSubject &subject, Base::TimePoint now, Base::WallTime wallNow)
+ClaimId ClaimProcessor::begin(const ClaimSubject &subject, Base::TimePoint now,
+                              Base::WallTime wallNow)
 {
     const ClaimId id = ++m_lastId;
     OpenClaim &claim = m_claims[id];
@@ -54,7 +55,7 @@
     return id;
 }
 
-bool ClaimRows::isHeld(ClaimId id, Base::TimePoint now) const
+bool ClaimProcessor::isHeld(ClaimId id, Base::TimePoint now) const
 {
     const auto it = m_claims.find(id);
     if (it == m_claims.end())
@@ -63,7 +64,7 @@
     return claim.isOwned && !claim.isLost && now < claim.leaseEnd;
 }
 
-void ClaimRows::complete(ClaimId id, const std::string &answer, Base::TimePoint now)
+void ClaimProcessor::complete(ClaimId id, const std::string &answer, Base::TimePoint now)
 {
     OpenClaim *claim = find(id);
     if (!claim)
@@ -74,13 +75,13 @@
     settle(id, *claim, ClaimGoal::Complete, now);
 }
 
-void ClaimRows::release(ClaimId id, Base::TimePoint now)
+void ClaimProcessor::release(ClaimId id, Base::TimePoint now)
 {
     if (OpenClaim *claim = find(id))
         settle(id, *claim, ClaimGoal::Release, now);
 }
 
-void ClaimRows::abandon(ClaimId id)
+void ClaimProcessor::abandon(ClaimId id)
 {
     OpenClaim *claim = find(id);
     if (!claim)
@@ -92,7 +93,7 @@
         settle(id, *claim, ClaimGoal::Release, claim->startedAt);
 }
 
-void ClaimRows::settle(ClaimId id, OpenClaim &claim, ClaimGoal goal, Base::TimePoint now)
+void ClaimProcessor::settle(ClaimId id, OpenClaim &claim, ClaimGoal goal, Base::TimePoint now)
 {
     claim.goal = goal;
     claim.attempts = 0;
@@ -108,7 +109,7 @@
     m_writer.flush(now);
 }
 
-void ClaimRows::advance(Base::TimePoint now)
+void ClaimProcessor::advance(Base::TimePoint now)
 {
     while (!m_timers.empty() && m_timers.begin()->first <= now) {
         const auto [at, id] = *m_timers.begin();
@@ -125,7 +126,7 @@
     m_writer.flush(now);
 }
 
-Base::TimePoint ClaimRows::nextDue() const
+Base::TimePoint ClaimProcessor::nextDue() const
 {
     if (!m_decisions.empty())
         return Base::TimePoint::min();
@@ -133,7 +134,7 @@
     return m_timers.empty() ? due : std::min(due, m_timers.begin()->first);
 }
 
-bool ClaimRows::handle(const Storage::TableOutcome &outcome, Base::TimePoint now)
+bool ClaimProcessor::handle(const Storage::TableOutcome &outcome, Base::TimePoint now)
 {
     if (const std::optional<ClaimId> id = m_reader.handle(outcome)) {
         if (OpenClaim *claim = find(*id))
@@ -149,13 +150,13 @@
     return true;
 }
 
-OpenClaim *ClaimRows::find(ClaimId id)
+OpenClaim *ClaimProcessor::find(ClaimId id)
 {
     const auto it = m_claims.find(id);
     return it == m_claims.end() ? nullptr : &it->second;
 }
 
-void ClaimRows::write(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::write(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     const Base::WallTime wall = claim.wallAt(now);
     ClaimRow &row = claim.row;
@@ -176,13 +177,13 @@
     m_writer.write(id, {claim.key, encodeClaim(row), claim.expected});
 }
 
-void ClaimRows::read(ClaimId id, OpenClaim &claim)
+void ClaimProcessor::read(ClaimId id, OpenClaim &claim)
 {
     claim.step = ClaimStep::Reading;
     m_reader.read(id, claim.customer, claim.key);
 }
 
-bool ClaimRows::isRepeating(const Base::CustomerId &customer, Base::TimePoint now)
+bool ClaimProcessor::isRepeating(const Base::CustomerId &customer, Base::TimePoint now)
 {
     const auto it = m_repeaters.find(customer);
     if (it == m_repeaters.end())
@@ -193,7 +194,7 @@
     return false;
 }
 
-void ClaimRows::pause(ClaimId id, OpenClaim &claim, bool isReadDue, Base::TimePoint now)
+void ClaimProcessor::pause(ClaimId id, OpenClaim &claim, bool isReadDue, Base::TimePoint now)
 {
     claim.step = ClaimStep::Pausing;
     claim.isReadDue = isReadDue;
@@ -204,13 +205,13 @@
     setTimer(id, claim, now + length + Base::Duration(m_random->next() % spread));
 }
 
-void ClaimRows::setTimer(ClaimId id, OpenClaim &claim, Base::TimePoint at)
+void ClaimProcessor::setTimer(ClaimId id, OpenClaim &claim, Base::TimePoint at)
 {
     claim.timerAt = at;
     m_timers.emplace(at, id);
 }
 
-void ClaimRows::timerDue(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::timerDue(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     const bool isBusy = claim.step == ClaimStep::Writing || claim.step == ClaimStep::Reading;
     if (isBusy)
@@ -226,8 +227,8 @@
     claim.isReadDue = false;
 }
 
-void ClaimRows::rowWritten(ClaimId id, OpenClaim &claim, const RowResult &result,
-                           Base::TimePoint now)
+void ClaimProcessor::rowWritten(ClaimId id, OpenClaim &claim, const RowResult &result,
+                                Base::TimePoint now)
 {
     claim.step = ClaimStep::Idle;
     switch (result.status) {
@@ -252,7 +253,7 @@
         read(id, claim);
 }
 
-void ClaimRows::writeDone(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::writeDone(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     claim.mayBeWritten = true;
     claim.attempts = 0;
@@ -276,7 +277,7 @@
     }
 }
 
-void ClaimRows::writeNotDone(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::writeNotDone(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     const bool isUnwritten = !claim.mayBeWritten;
     if (claim.goal == ClaimGoal::Own || (claim.goal == ClaimGoal::Release && isUnwritten))
@@ -285,8 +286,8 @@
         pause(id, claim, false, now);
 }
 
-void ClaimRows::rowRead(ClaimId id, OpenClaim &claim, const Storage::TableOutcome &outcome,
-                        Base::TimePoint now)
+void ClaimProcessor::rowRead(ClaimId id, OpenClaim &claim, const Storage::TableOutcome &outcome,
+                             Base::TimePoint now)
 {
     claim.step = ClaimStep::Idle;
     if (outcome.status != TableStatus::Done) {
@@ -315,7 +316,7 @@
     }
 }
 
-void ClaimRows::judgeAbsent(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::judgeAbsent(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     if (claim.goal == ClaimGoal::Renew) {
         claim.isLost = true;
@@ -330,7 +331,8 @@
         writeAgain(id, claim, now);
 }
 
-void ClaimRows::judgeOwn(ClaimId id, OpenClaim &claim, const JudgedRow &judged, Base::TimePoint now)
+void ClaimProcessor::judgeOwn(ClaimId id, OpenClaim &claim, const JudgedRow &judged,
+                              Base::TimePoint now)
 {
     claim.expected = judged.version;
     claim.mayBeWritten = true;
@@ -355,8 +357,8 @@
     }
 }
 
-void ClaimRows::judgeFree(ClaimId id, OpenClaim &claim, const JudgedRow &judged,
-                          Base::TimePoint now)
+void ClaimProcessor::judgeFree(ClaimId id, OpenClaim &claim, const JudgedRow &judged,
+                               Base::TimePoint now)
 {
     const bool isReleasing = claim.goal == ClaimGoal::Release && claim.mayBeWritten;
     if (claim.goal != ClaimGoal::Own && !isReleasing) {
@@ -370,8 +372,8 @@
     writeAgain(id, claim, now);
 }
 
-void ClaimRows::judgeOther(ClaimId id, OpenClaim &claim, const JudgedRow &judged,
-                           Base::TimePoint now)
+void ClaimProcessor::judgeOther(ClaimId id, OpenClaim &claim, const JudgedRow &judged,
+                                Base::TimePoint now)
 {
     if (claim.goal == ClaimGoal::Renew) {
         claim.isLost = true;
@@ -387,7 +389,7 @@
     m_claims.erase(id);
 }
 
-void ClaimRows::own(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::own(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     claim.isOwned = true;
     claim.attempts = 0;
@@ -401,7 +403,7 @@
     tell(id, claim, ClaimVerdict::Claimed);
 }
 
-void ClaimRows::writeAgain(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::writeAgain(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     if (claim.goal == ClaimGoal::Own && ++claim.attempts > m_policy.largestAttempts)
         giveUp(id, claim, now);
@@ -409,7 +411,7 @@
         write(id, claim, now);
 }
 
-void ClaimRows::giveUp(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::giveUp(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     if (claim.goal == ClaimGoal::Own)
         tell(id, claim, ClaimVerdict::Unavailable);
@@ -426,8 +428,8 @@
         m_claims.erase(id);
 }
 
-void ClaimRows::tell(ClaimId id, const OpenClaim &claim, ClaimVerdict verdict,
-                     const std::string &answer)
+void ClaimProcessor::tell(ClaimId id, const OpenClaim &claim, ClaimVerdict verdict,
+                          const std::string &answer)
 {
     const std::uint64_t fence = verdict == ClaimVerdict::Claimed ? claim.row.fence : 0;
     m_decisions.push_back({id, verdict, answer, fence});
--- a/src/libs/claims/claimrows.h
+++ b/src/libs/claims/claimrows.h
@@ -36,12 +36,12 @@
 /// One call of the table is under way for each claim. An answer that is lost is made up for by
 /// reading the row and comparing the token; what can't be brought to its end now is tried again
 /// with growing pauses, until the row is as it should be.
-class ClaimRows
+class ClaimProcessor
 {
 public:
-    ClaimRows(const ClaimPolicy &policy, const Base::HostId &self, Base::Incarnation incarnation,
-              Storage::TableService &table, Storage::OperationIds &operations,
-              Base::RandomSource &random);
+    ClaimProcessor(const ClaimPolicy &policy, const Base::HostId &self,
+                   Base::Incarnation incarnation, Storage::TableService &table,
+                   Storage::OperationIds &operations, Base::RandomSource &random);
 
     /// One decision follows, unless the claim is ended before.
     ClaimId begin(const ClaimSubject &subject, Base::TimePoint now, Base::WallTime wallNow);
