--- a/src/libs/claims/claimjudge.cpp
+++ b/src/libs/claims/claimjudge.cpp
@@ -4,57 +4,57 @@
 
 namespace {
 
-RowMeaning meaningOf(const ClaimRow &row, const ClaimRow &own, Base::WallTime wallNow,
-                     Base::Duration clockSkew)
+RowKind kindOf(const ClaimRow &row, const ClaimRow &own, Base::WallTime wallNow,
+               Base::Duration clockSkew)
 {
     if (row.token == own.token)
-        return RowMeaning::Own;
+        return RowKind::Own;
     if (row.state == ClaimState::Released)
-        return RowMeaning::Free;
+        return RowKind::Free;
     if (row.contentHash != own.contentHash)
-        return RowMeaning::OtherContent;
+        return RowKind::OtherContent;
     if (row.state == ClaimState::Completed)
-        return row.isAnswerKept ? RowMeaning::Completed : RowMeaning::CompletedUnstored;
+        return row.isAnswerKept ? RowKind::Completed : RowKind::CompletedUnstored;
     const auto margin = std::chrono::duration_cast<Base::WallTime::duration>(clockSkew);
-    return wallNow > row.leaseUntil + margin ? RowMeaning::Lapsed : RowMeaning::Live;
+    return wallNow > row.leaseUntil + margin ? RowKind::Lapsed : RowKind::Live;
 }
 
 } // namespace
 
-JudgedRow judgeRows(const std::vector<Storage::TableRow> &rows, const ClaimRow &own,
-                    Base::WallTime wallNow, Base::Duration clockSkew)
+ClassifiedRow classifyRow(const std::vector<Storage::TableRow> &rows, const ClaimRow &own,
+                          Base::WallTime wallNow, Base::Duration clockSkew)
 {
-    JudgedRow judged;
+    ClassifiedRow classified;
     if (rows.empty())
-        return judged;
-    judged.version = rows.front().version;
+        return classified;
+    classified.version = rows.front().version;
     Base::Result<ClaimRow> row = decodeClaim(rows.front().value);
     if (!row) {
-        judged.meaning = RowMeaning::Malformed;
-        return judged;
+        classified.kind = RowKind::Malformed;
+        return classified;
     }
-    judged.row = *row;
-    judged.meaning = meaningOf(judged.row, own, wallNow, clockSkew);
-    return judged;
+    classified.row = *row;
+    classified.kind = kindOf(classified.row, own, wallNow, clockSkew);
+    return classified;
 }
 
-ClaimVerdict verdictOf(RowMeaning meaning)
+ClaimVerdict verdictOf(RowKind kind)
 {
-    switch (meaning) {
-    case RowMeaning::OtherContent:
+    switch (kind) {
+    case RowKind::OtherContent:
         return ClaimVerdict::Conflict;
-    case RowMeaning::Completed:
+    case RowKind::Completed:
         return ClaimVerdict::Completed;
-    case RowMeaning::CompletedUnstored:
+    case RowKind::CompletedUnstored:
         return ClaimVerdict::CompletedUnstored;
-    case RowMeaning::Live:
+    case RowKind::Live:
         return ClaimVerdict::InProgress;
-    case RowMeaning::Lapsed:
-    case RowMeaning::Malformed:
+    case RowKind::Lapsed:
+    case RowKind::Malformed:
         return ClaimVerdict::Undecidable;
-    case RowMeaning::Absent:
-    case RowMeaning::Own:
-    case RowMeaning::Free:
+    case RowKind::Absent:
+    case RowKind::Own:
+    case RowKind::Free:
         break;
     }
     return ClaimVerdict::Unavailable;
--- a/src/libs/claims/claimjudge.h
+++ b/src/libs/claims/claimjudge.h
@@ -11,7 +11,7 @@
 namespace Claims {
 
 /// What a row that was read says to the claimer with a token of its own.
-enum class RowMeaning {
+enum class RowKind {
     Absent,
     Own,               ///< The claimer wrote it.
     Free,              ///< Released by its owner, who never sent the work.
@@ -23,9 +23,9 @@
     Malformed,         ///< Says nothing; the work may have run.
 };
 
-struct JudgedRow
+struct ClassifiedRow
 {
-    RowMeaning meaning = RowMeaning::Absent;
+    RowKind kind = RowKind::Absent;
     ClaimRow row;
     Storage::RowVersion version = 0;
 };
@@ -36,10 +36,10 @@
 /// A lease of another host is judged by calendar time with \a clockSkew as margin. A wrong
 /// judgement only changes between "running" and "may have run" what a caller is told, since no
 /// lapsed claim is taken over.
-JudgedRow judgeRows(const std::vector<Storage::TableRow> &rows, const ClaimRow &own,
-                    Base::WallTime wallNow, Base::Duration clockSkew);
+ClassifiedRow classifyRow(const std::vector<Storage::TableRow> &rows, const ClaimRow &own,
+                          Base::WallTime wallNow, Base::Duration clockSkew);
 
 /// What the claimer's caller is told of another's row.
-ClaimVerdict verdictOf(RowMeaning meaning);
+ClaimVerdict verdictOf(RowKind kind);
 
 } // namespace Claims
--- a/src/libs/claims/claimrows.cpp
+++ b/src/libs/claims/claimrows.cpp
@@ -99,7 +99,7 @@
     claim.attempts = 0;
     const bool isBusy = claim.step == ClaimStep::Writing || claim.step == ClaimStep::Reading;
     if (isBusy)
-        return; // What is under way is judged by the new goal.
+        return; // What is under way is classified by the new goal.
     if (claim.isOwned)
         write(id, claim, now);
     else if (claim.mayBeWritten)
@@ -299,24 +299,24 @@
             pause(id, claim, true, now);
         return;
     }
-    const JudgedRow judged =
-        judgeRows(outcome.rows, claim.row, claim.wallAt(now), m_policy.clockSkew);
-    switch (judged.meaning) {
-    case RowMeaning::Absent:
-        judgeAbsent(id, claim, now);
+    const ClassifiedRow classified =
+        classifyRow(outcome.rows, claim.row, claim.wallAt(now), m_policy.clockSkew);
+    switch (classified.kind) {
+    case RowKind::Absent:
+        handleAbsentRow(id, claim, now);
         return;
-    case RowMeaning::Own:
-        judgeOwn(id, claim, judged, now);
+    case RowKind::Own:
+        handleOwnRow(id, claim, classified, now);
         return;
-    case RowMeaning::Free:
-        judgeFree(id, claim, judged, now);
+    case RowKind::Free:
+        handleReleasedRow(id, claim, classified, now);
         return;
     default:
-        judgeOther(id, claim, judged, now);
+        handleForeignRow(id, claim, classified, now);
     }
 }
 
-void ClaimProcessor::judgeAbsent(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::handleAbsentRow(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     if (claim.goal == ClaimGoal::Renew) {
         claim.isLost = true;
@@ -331,16 +331,16 @@
         writeAgain(id, claim, now);
 }
 
-void ClaimProcessor::judgeOwn(ClaimId id, OpenClaim &claim, const JudgedRow &judged,
-                              Base::TimePoint now)
+void ClaimProcessor::handleOwnRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
+                                  Base::TimePoint now)
 {
-    claim.expected = judged.version;
+    claim.expected = classified.version;
     claim.mayBeWritten = true;
-    const bool isCompleted = judged.row.state == ClaimState::Completed;
-    const bool isReleased = judged.row.state == ClaimState::Released;
+    const bool isCompleted = classified.row.state == ClaimState::Completed;
+    const bool isReleased = classified.row.state == ClaimState::Released;
     switch (claim.goal) {
     case ClaimGoal::Own:
-        claim.row.fence = judged.row.fence;
+        claim.row.fence = classified.row.fence;
         own(id, claim, now);
         return;
     case ClaimGoal::Renew:
@@ -357,23 +357,23 @@
     }
 }
 
-void ClaimProcessor::judgeFree(ClaimId id, OpenClaim &claim, const JudgedRow &judged,
-                               Base::TimePoint now)
+void ClaimProcessor::handleReleasedRow(ClaimId id, OpenClaim &claim,
+                                       const ClassifiedRow &classified, Base::TimePoint now)
 {
     const bool isReleasing = claim.goal == ClaimGoal::Release && claim.mayBeWritten;
     if (claim.goal != ClaimGoal::Own && !isReleasing) {
-        judgeOther(id, claim, judged, now);
+        handleForeignRow(id, claim, classified, now);
         return;
     }
     // When releasing as well: a claim of ours over this row may be under way, and fails only
     // if the row's version has changed.
-    claim.expected = judged.version;
-    claim.row.fence = std::max(claim.row.fence, judged.row.fence + 1);
+    claim.expected = classified.version;
+    claim.row.fence = std::max(claim.row.fence, classified.row.fence + 1);
     writeAgain(id, claim, now);
 }
 
-void ClaimProcessor::judgeOther(ClaimId id, OpenClaim &claim, const JudgedRow &judged,
-                                Base::TimePoint now)
+void ClaimProcessor::handleForeignRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
+                                      Base::TimePoint now)
 {
     if (claim.goal == ClaimGoal::Renew) {
         claim.isLost = true;
@@ -384,7 +384,7 @@
     if (claim.goal == ClaimGoal::Own) {
         // Written straight away, each repeat would break up a batch of others' claims.
         m_repeaters[claim.customer] = now + m_policy.readFirstFor;
-        tell(id, claim, verdictOf(judged.meaning), judged.row.answer);
+        tell(id, claim, verdictOf(classified.kind), classified.row.answer);
     }
     m_claims.erase(id);
 }
--- a/src/libs/claims/claimrows.h
+++ b/src/libs/claims/claimrows.h
@@ -74,10 +74,13 @@
     void writeNotDone(ClaimId id, OpenClaim &claim, Base::TimePoint now);
     void rowRead(ClaimId id, OpenClaim &claim, const Storage::TableOutcome &outcome,
                  Base::TimePoint now);
-    void judgeAbsent(ClaimId id, OpenClaim &claim, Base::TimePoint now);
-    void judgeOwn(ClaimId id, OpenClaim &claim, const JudgedRow &judged, Base::TimePoint now);
-    void judgeFree(ClaimId id, OpenClaim &claim, const JudgedRow &judged, Base::TimePoint now);
-    void judgeOther(ClaimId id, OpenClaim &claim, const JudgedRow &judged, Base::TimePoint now);
+    void handleAbsentRow(ClaimId id, OpenClaim &claim, Base::TimePoint now);
+    void handleOwnRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
+                      Base::TimePoint now);
+    void handleReleasedRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
+                           Base::TimePoint now);
+    void handleForeignRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
+                          Base::TimePoint now);
 
     void own(ClaimId id, OpenClaim &claim, Base::TimePoint now);
     void writeAgain(ClaimId id, OpenClaim &claim, Base::TimePoint now);
