--- a/src/libs/claims/claimrows.cpp
+++ b/src/libs/claims/claimrows.cpp
@@ -72,13 +72,13 @@
     claim->row.isAnswerKept = answer.size() <= m_policy.largestAnswer;
     if (claim->row.isAnswerKept)
         claim->row.answer = answer;
-    settle(id, *claim, ClaimGoal::Complete, now);
+    setFinalGoal(id, *claim, ClaimGoal::Complete, now);
 }
 
 void ClaimProcessor::release(ClaimId id, Base::TimePoint now)
 {
     if (OpenClaim *claim = find(id))
-        settle(id, *claim, ClaimGoal::Release, now);
+        setFinalGoal(id, *claim, ClaimGoal::Release, now);
 }
 
 void ClaimProcessor::abandon(ClaimId id)
@@ -90,10 +90,10 @@
     if (claim->isOwned)
         m_claims.erase(id);
     else
-        settle(id, *claim, ClaimGoal::Release, claim->startedAt);
+        setFinalGoal(id, *claim, ClaimGoal::Release, claim->startedAt);
 }
 
-void ClaimProcessor::settle(ClaimId id, OpenClaim &claim, ClaimGoal goal, Base::TimePoint now)
+void ClaimProcessor::setFinalGoal(ClaimId id, OpenClaim &claim, ClaimGoal goal, Base::TimePoint now)
 {
     claim.goal = goal;
     claim.attempts = 0;
@@ -118,7 +118,7 @@
         if (!claim)
             continue;
         const bool isOverdue = now >= claim->startedAt + m_policy.decideWithin;
-        if (claim->goal == ClaimGoal::Own && isOverdue)
+        if (claim->goal == ClaimGoal::Acquire && isOverdue)
             giveUp(id, *claim, now);
         else if (claim->timerAt == at)
             timerDue(id, *claim, now);
@@ -173,7 +173,7 @@
     row.leaseUntil = claim.wallAt(claim.writtenAt)
                      + std::chrono::duration_cast<Base::WallTime::duration>(m_policy.lease);
     claim.step = ClaimStep::Writing;
-    claim.written = claim.goal;
+    claim.writingGoal = claim.goal;
     m_writer.write(id, {claim.key, encodeClaim(row), claim.expected});
 }
 
@@ -257,9 +257,9 @@
 {
     claim.mayBeWritten = true;
     claim.attempts = 0;
-    switch (claim.written) {
-    case ClaimGoal::Own:
-        own(id, claim, now);
+    switch (claim.writingGoal) {
+    case ClaimGoal::Acquire:
+        setOwned(id, claim, now);
         return;
     case ClaimGoal::Renew:
         // An answer after the old lease's end renews nothing: maySend() said no meanwhile.
@@ -280,7 +280,7 @@
 void ClaimProcessor::writeNotDone(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     const bool isUnwritten = !claim.mayBeWritten;
-    if (claim.goal == ClaimGoal::Own || (claim.goal == ClaimGoal::Release && isUnwritten))
+    if (claim.goal == ClaimGoal::Acquire || (claim.goal == ClaimGoal::Release && isUnwritten))
         giveUp(id, claim, now);
     else
         pause(id, claim, false, now);
@@ -293,7 +293,7 @@
     if (outcome.status != TableStatus::Done) {
         const bool isLast = claim.attempts >= m_policy.largestAttempts;
         const bool isUnwritten = claim.goal == ClaimGoal::Release && !claim.mayBeWritten;
-        if ((claim.goal == ClaimGoal::Own && isLast) || isUnwritten)
+        if ((claim.goal == ClaimGoal::Acquire && isLast) || isUnwritten)
             giveUp(id, claim, now);
         else
             pause(id, claim, true, now);
@@ -328,7 +328,7 @@
     if (claim.goal == ClaimGoal::Release && !claim.mayBeWritten)
         m_claims.erase(id);
     else
-        writeAgain(id, claim, now);
+        retryWrite(id, claim, now);
 }
 
 void ClaimProcessor::handleOwnRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
@@ -339,9 +339,9 @@
     const bool isCompleted = classified.row.state == ClaimState::Completed;
     const bool isReleased = classified.row.state == ClaimState::Released;
     switch (claim.goal) {
-    case ClaimGoal::Own:
+    case ClaimGoal::Acquire:
         claim.row.fence = classified.row.fence;
-        own(id, claim, now);
+        setOwned(id, claim, now);
         return;
     case ClaimGoal::Renew:
         if (now < claim.leaseEnd)
@@ -361,7 +361,7 @@
                                        const ClassifiedRow &classified, Base::TimePoint now)
 {
     const bool isReleasing = claim.goal == ClaimGoal::Release && claim.mayBeWritten;
-    if (claim.goal != ClaimGoal::Own && !isReleasing) {
+    if (claim.goal != ClaimGoal::Acquire && !isReleasing) {
         handleForeignRow(id, claim, classified, now);
         return;
     }
@@ -369,7 +369,7 @@
     // if the row's version has changed.
     claim.expected = classified.version;
     claim.row.fence = std::max(claim.row.fence, classified.row.fence + 1);
-    writeAgain(id, claim, now);
+    retryWrite(id, claim, now);
 }
 
 void ClaimProcessor::handleForeignRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
@@ -381,31 +381,31 @@
     }
     // To complete or release what is another's now would undo the other's work: left alone. A
     // late write of our own can't arrive either, while there is a row.
-    if (claim.goal == ClaimGoal::Own) {
+    if (claim.goal == ClaimGoal::Acquire) {
         // Written straight away, each repeat would break up a batch of others' claims.
         m_repeaters[claim.customer] = now + m_policy.readFirstFor;
-        tell(id, claim, verdictOf(classified.kind), classified.row.answer);
+        addDecision(id, claim, verdictOf(classified.kind), classified.row.answer);
     }
     m_claims.erase(id);
 }
 
-void ClaimProcessor::own(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::setOwned(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     claim.isOwned = true;
     claim.attempts = 0;
     claim.leaseEnd = claim.writtenAt + m_policy.lease;
-    if (claim.goal != ClaimGoal::Own) {
+    if (claim.goal != ClaimGoal::Acquire) {
         write(id, claim, now);
         return;
     }
     claim.goal = ClaimGoal::Renew;
     setTimer(id, claim, claim.writtenAt + m_policy.lease / 2);
-    tell(id, claim, ClaimVerdict::Claimed);
+    addDecision(id, claim, ClaimVerdict::Claimed);
 }
 
-void ClaimProcessor::writeAgain(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::retryWrite(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
-    if (claim.goal == ClaimGoal::Own && ++claim.attempts > m_policy.largestAttempts)
+    if (claim.goal == ClaimGoal::Acquire && ++claim.attempts > m_policy.largestAttempts)
         giveUp(id, claim, now);
     else
         write(id, claim, now);
@@ -413,8 +413,8 @@
 
 void ClaimProcessor::giveUp(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
-    if (claim.goal == ClaimGoal::Own)
-        tell(id, claim, ClaimVerdict::Unavailable);
+    if (claim.goal == ClaimGoal::Acquire)
+        addDecision(id, claim, ClaimVerdict::Unavailable);
     claim.goal = ClaimGoal::Release;
     claim.attempts = 0;
     const bool isBusy = claim.step == ClaimStep::Writing || claim.step == ClaimStep::Reading;
@@ -428,8 +428,8 @@
         m_claims.erase(id);
 }
 
-void ClaimProcessor::tell(ClaimId id, const OpenClaim &claim, ClaimVerdict verdict,
-                          const std::string &answer)
+void ClaimProcessor::addDecision(ClaimId id, const OpenClaim &claim, ClaimVerdict verdict,
+                                 const std::string &answer)
 {
     const std::uint64_t fence = verdict == ClaimVerdict::Claimed ? claim.row.fence : 0;
     m_decisions.push_back({id, verdict, answer, fence});
--- a/src/libs/claims/claimrows.h
+++ b/src/libs/claims/claimrows.h
@@ -60,7 +60,7 @@
 
 private:
     OpenClaim *find(ClaimId id);
-    void settle(ClaimId id, OpenClaim &claim, ClaimGoal goal, Base::TimePoint now);
+    void setFinalGoal(ClaimId id, OpenClaim &claim, ClaimGoal goal, Base::TimePoint now);
     void timerDue(ClaimId id, OpenClaim &claim, Base::TimePoint now);
 
     void write(ClaimId id, OpenClaim &claim, Base::TimePoint now);
@@ -82,11 +82,11 @@
     void handleForeignRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
                           Base::TimePoint now);
 
-    void own(ClaimId id, OpenClaim &claim, Base::TimePoint now);
-    void writeAgain(ClaimId id, OpenClaim &claim, Base::TimePoint now);
+    void setOwned(ClaimId id, OpenClaim &claim, Base::TimePoint now);
+    void retryWrite(ClaimId id, OpenClaim &claim, Base::TimePoint now);
     void giveUp(ClaimId id, OpenClaim &claim, Base::TimePoint now);
-    void tell(ClaimId id, const OpenClaim &claim, ClaimVerdict verdict,
-              const std::string &answer = {});
+    void addDecision(ClaimId id, const OpenClaim &claim, ClaimVerdict verdict,
+                     const std::string &answer = {});
 
     ClaimPolicy m_policy;
     Base::HostId m_self;
--- a/src/libs/claims/openclaim.h
+++ b/src/libs/claims/openclaim.h
@@ -11,7 +11,7 @@
 namespace Claims {
 
 /// What a claim's next write is for.
-enum class ClaimGoal { Own, Renew, Complete, Release };
+enum class ClaimGoal { Acquire, Renew, Complete, Release };
 
 enum class ClaimStep {
     Idle,
@@ -30,9 +30,9 @@
     ClaimRow row;
     /// Version that the next write demands.
     Storage::RowVersion expected = Storage::absentRow;
-    ClaimGoal goal = ClaimGoal::Own;
+    ClaimGoal goal = ClaimGoal::Acquire;
     /// Goal of the write under way.
-    ClaimGoal written = ClaimGoal::Own;
+    ClaimGoal writingGoal = ClaimGoal::Acquire;
     ClaimStep step = ClaimStep::Idle;
     /// After the pause the row is read before it is written.
     bool isReadDue = false;
