--- a/src/libs/claims/claimbook.cpp
+++ b/src/libs/claims/claimbook.cpp
@@ -8,7 +8,7 @@
                                           Storage::OperationIds &operations,
                                           Base::RandomSource &random)
 {
-    const bool isTimed = policy.lease > policy.decideWithin && policy.retention >= policy.lease
+    const bool isTimed = policy.lease > policy.decisionTimeout && policy.retention >= policy.lease
                          && policy.firstPause > Base::Duration::zero();
     if (!isTimed || policy.writer.largestBatch == 0 || policy.writer.largestInFlight == 0
         || policy.largestReads == 0)
--- a/src/libs/claims/claimbook.h
+++ b/src/libs/claims/claimbook.h
@@ -56,7 +56,7 @@
                                           Storage::OperationIds &operations,
                                           Base::RandomSource &random);
 
-    /// One ClaimOutcome follows, within decideWithin, unless the request is released before.
+    /// One ClaimOutcome follows, within decisionTimeout, unless the request is released before.
     void claim(const Base::RequestKey &request, const ClaimSubject &subject, Base::TimePoint now,
                Base::WallTime wallNow);
     /// Asked last before the work leaves: whether this process may still send it. Guards
--- a/src/libs/claims/claimpolicy.h
+++ b/src/libs/claims/claimpolicy.h
@@ -36,7 +36,7 @@
     /// Attempts at making a claim, each a write or a read, after the first write.
     std::uint32_t largestAttempts = 4;
     /// A claim is decided within this time.
-    Base::Duration decideWithin = std::chrono::seconds(5);
+    Base::Duration decisionTimeout = std::chrono::seconds(5);
     /// Pause before a failed call is made again; doubles up to the longest.
     Base::Duration firstPause = std::chrono::milliseconds(100);
     Base::Duration longestPause = std::chrono::seconds(30);
@@ -48,7 +48,7 @@
     /// Reads under way.
     std::size_t largestReads = 4;
     /// How long after a taken key a customer's claims are read before they are written.
-    Base::Duration readFirstFor = std::chrono::seconds(60);
+    Base::Duration readFirstPeriod = std::chrono::seconds(60);
     RowWriterPolicy writer;
 };
 
--- a/src/libs/claims/claimrows.cpp
+++ b/src/libs/claims/claimrows.cpp
@@ -50,7 +50,7 @@
         read(id, claim);
     else
         write(id, claim, now);
-    setTimer(id, claim, now + m_policy.decideWithin);
+    setTimer(id, claim, now + m_policy.decisionTimeout);
     m_writer.flush(now);
     return id;
 }
@@ -117,7 +117,7 @@
         OpenClaim *claim = find(id);
         if (!claim)
             continue;
-        const bool isOverdue = now >= claim->startedAt + m_policy.decideWithin;
+        const bool isOverdue = now >= claim->startedAt + m_policy.decisionTimeout;
         if (claim->goal == ClaimGoal::Acquire && isOverdue)
             giveUp(id, *claim, now);
         else if (claim->timerAt == at)
@@ -383,7 +383,7 @@
     // late write of our own can't arrive either, while there is a row.
     if (claim.goal == ClaimGoal::Acquire) {
         // Written straight away, each repeat would break up a batch of others' claims.
-        m_repeaters[claim.customer] = now + m_policy.readFirstFor;
+        m_repeaters[claim.customer] = now + m_policy.readFirstPeriod;
         addDecision(id, claim, verdictOf(classified.kind), classified.row.answer);
     }
     m_claims.erase(id);
