--- a/src/libs/claims/claimbook.h
+++ b/src/libs/claims/claimbook.h
@@ -73,7 +73,7 @@
     void advance(Base::TimePoint now);
     Base::TimePoint nextDue() const
     {
-        return m_outcomes.empty() ? m_rows.nextDue() : Base::TimePoint::min();
+        return m_outcomes.empty() ? m_processor.nextDue() : Base::TimePoint::min();
     }
     /// Returns whether \a outcome is of a call that this object made.
     bool handle(const Storage::TableOutcome &outcome, Base::TimePoint now);
@@ -82,11 +82,11 @@
     /// Claims that wait for their verdict.
     std::size_t undecided() const { return m_undecided.size(); }
     /// Claims whose request is gone and whose row is not yet as it should be.
-    std::size_t unsettled() const { return m_rows.size() - m_byRequest.size(); }
+    std::size_t unsettled() const { return m_processor.size() - m_byRequest.size(); }
 
 private:
     /// A key that a request of this process claims or holds.
-    struct LiveKey
+    struct ActiveKey
     {
         std::uint64_t contentHash = 0;
         bool isOwned = false;
@@ -96,22 +96,22 @@
               Storage::TableService &table, Storage::OperationIds &operations,
               Base::RandomSource &random);
     /// Parts a request from its claim; empty if it has none.
-    std::optional<ClaimId> unlink(const Base::RequestKey &request);
+    std::optional<ClaimId> detach(const Base::RequestKey &request);
     /// What a repeat is told whose key another request of this process has.
-    static ClaimVerdict verdictBeside(const LiveKey &live, std::uint64_t contentHash);
-    void endWait(ClaimId id);
+    static ClaimVerdict verdictForDuplicate(const ActiveKey &active, std::uint64_t contentHash);
+    void removeUndecided(ClaimId id);
     /// Takes over what the rows have decided.
-    void collect();
+    void collectDecisions();
 
     ClaimPolicy m_policy;
-    ClaimProcessor m_rows;
+    ClaimProcessor m_processor;
     std::map<Base::RequestKey, ClaimId> m_byRequest;
     std::map<ClaimId, Base::RequestKey> m_requests;
-    std::map<std::string, LiveKey> m_liveKeys;
+    std::map<std::string, ActiveKey> m_activeKeys;
     std::map<ClaimId, std::string> m_keys;
     /// Claims that wait for their verdict.
     std::map<ClaimId, Base::CustomerId> m_undecided;
-    std::map<Base::CustomerId, std::size_t> m_undecidedOf;
+    std::map<Base::CustomerId, std::size_t> m_undecidedPerCustomer;
     std::vector<ClaimOutcome> m_outcomes;
 };
 
--- a/src/libs/claims/claimrows.cpp
+++ b/src/libs/claims/claimrows.cpp
@@ -185,12 +185,12 @@
 
 bool ClaimProcessor::isRepeating(const Base::CustomerId &customer, Base::TimePoint now)
 {
-    const auto it = m_repeaters.find(customer);
-    if (it == m_repeaters.end())
+    const auto it = m_repeatingCustomers.find(customer);
+    if (it == m_repeatingCustomers.end())
         return false;
     if (now < it->second)
         return true;
-    m_repeaters.erase(it);
+    m_repeatingCustomers.erase(it);
     return false;
 }
 
@@ -383,7 +383,7 @@
     // late write of our own can't arrive either, while there is a row.
     if (claim.goal == ClaimGoal::Acquire) {
         // Written straight away, each repeat would break up a batch of others' claims.
-        m_repeaters[claim.customer] = now + m_policy.readFirstPeriod;
+        m_repeatingCustomers[claim.customer] = now + m_policy.readFirstPeriod;
         addDecision(id, claim, verdictOf(classified.kind), classified.row.answer);
     }
     m_claims.erase(id);
--- a/src/libs/claims/claimrows.h
+++ b/src/libs/claims/claimrows.h
@@ -97,7 +97,7 @@
     ClaimId m_lastId = 0;
     std::map<ClaimId, OpenClaim> m_claims;
     /// Customers whose keys were found taken, and until when their claims are read first.
-    std::map<Base::CustomerId, Base::TimePoint> m_repeaters;
+    std::map<Base::CustomerId, Base::TimePoint> m_repeatingCustomers;
     /// A claim's entries but the one at its timerAt are out of date.
     std::multimap<Base::TimePoint, ClaimId> m_timers;
     std::vector<ClaimDecision> m_decisions;
