--- a/src/libs/claims/claimrow.cpp
+++ b/src/libs/claims/claimrow.cpp
@@ -12,7 +12,7 @@
 using Milliseconds = std::chrono::milliseconds;
 
 /// The year 2200; above it, nanoseconds since 1970 pass 63 bits before long.
-constexpr std::uint64_t latestMilliseconds = 7'258'118'400'000ULL;
+constexpr std::uint64_t latestTimeMs = 7'258'118'400'000ULL;
 
 constexpr const char *claimedName = "claimed";
 constexpr const char *completedName = "completed";
@@ -66,7 +66,7 @@
 std::optional<Base::WallTime> time(const Json &json, const char *name)
 {
     const std::optional<std::uint64_t> value = number(json, name);
-    if (!value || *value > latestMilliseconds)
+    if (!value || *value > latestTimeMs)
         return std::nullopt;
     return Base::WallTime(Milliseconds(static_cast<std::int64_t>(*value)));
 }
@@ -120,9 +120,9 @@
     const auto fence = number(json, "fence");
     const auto leaseUntil = time(json, "leaseUntil");
     const auto retainUntil = time(json, "retainUntil");
-    const bool isWhole =
+    const bool isComplete =
         state && token && owner && incarnation && hash && fence && leaseUntil && retainUntil;
-    if (!isWhole)
+    if (!isComplete)
         return boost::leaf::new_error(MalformedClaimRow{});
     const auto answer = text(json, "answer");
     return ClaimRow{*state,
