--- a/src/libs/claims/claimrows.cpp
+++ b/src/libs/claims/claimrows.cpp
@@ -142,7 +142,7 @@
     } else if (!m_writer.handle(outcome)) {
         return false;
     }
-    for (const RowResult &result : m_writer.takeResults()) {
+    for (const RowWriteResult &result : m_writer.takeResults()) {
         if (OpenClaim *claim = find(result.claim))
             rowWritten(result.claim, *claim, result, now);
     }
@@ -227,7 +227,7 @@
     claim.isReadDue = false;
 }
 
-void ClaimProcessor::rowWritten(ClaimId id, OpenClaim &claim, const RowResult &result,
+void ClaimProcessor::rowWritten(ClaimId id, OpenClaim &claim, const RowWriteResult &result,
                                 Base::TimePoint now)
 {
     claim.step = ClaimStep::Idle;
--- a/src/libs/claims/claimrows.h
+++ b/src/libs/claims/claimrows.h
@@ -69,7 +69,8 @@
     bool isRepeating(const Base::CustomerId &customer, Base::TimePoint now);
     void setTimer(ClaimId id, OpenClaim &claim, Base::TimePoint at);
 
-    void rowWritten(ClaimId id, OpenClaim &claim, const RowResult &result, Base::TimePoint now);
+    void rowWritten(ClaimId id, OpenClaim &claim, const RowWriteResult &result,
+                    Base::TimePoint now);
     void writeDone(ClaimId id, OpenClaim &claim, Base::TimePoint now);
     void writeNotDone(ClaimId id, OpenClaim &claim, Base::TimePoint now);
     void rowRead(ClaimId id, OpenClaim &claim, const Storage::TableOutcome &outcome,
--- a/src/libs/claims/claimsweeper.cpp
+++ b/src/libs/claims/claimsweeper.cpp
@@ -26,12 +26,12 @@
         return;
     m_nextStep = now + m_policy.stepInterval;
     if (!isElected) {
-        m_after.clear();
+        m_lastKey.clear();
         return;
     }
     m_scannedAt = wallNow;
     m_scan = m_operations->next();
-    m_table->scan(*m_scan, claimPrefix, m_after, m_policy.limit);
+    m_table->scan(*m_scan, claimPrefix, m_lastKey, m_policy.limit);
 }
 
 bool ClaimSweeper::handle(const Storage::TableOutcome &outcome, Base::TimePoint now)
@@ -74,10 +74,10 @@
 void ClaimSweeper::endStep(const std::vector<Storage::TableRow> &rows, Base::TimePoint now)
 {
     if (rows.size() >= m_policy.limit) {
-        m_after = rows.back().key;
+        m_lastKey = rows.back().key;
         return;
     }
-    m_after.clear();
+    m_lastKey.clear();
     m_nextStep = now + m_policy.passInterval;
     ++m_counts.passes;
 }
--- a/src/libs/claims/claimsweeper.h
+++ b/src/libs/claims/claimsweeper.h
@@ -74,7 +74,7 @@
     std::optional<Storage::OperationId> m_scan;
     std::optional<Storage::OperationId> m_deletion;
     /// Last key read in this pass.
-    std::string m_after;
+    std::string m_lastKey;
     Base::TimePoint m_nextStep{};
     /// By calendar time, when the scan under way left.
     Base::WallTime m_scannedAt{};
--- a/src/libs/claims/rowreader.cpp
+++ b/src/libs/claims/rowreader.cpp
@@ -29,14 +29,14 @@
 void RowReader::flush()
 {
     while (!m_waiting.empty() && m_inFlight.size() < m_largestInFlight) {
-        auto turn = m_waiting.upper_bound(m_last);
-        if (turn == m_waiting.end())
-            turn = m_waiting.begin();
-        m_last = turn->first;
-        const Item item = turn->second.front();
-        turn->second.pop_front();
-        if (turn->second.empty())
-            m_waiting.erase(turn);
+        auto next = m_waiting.upper_bound(m_lastCustomer);
+        if (next == m_waiting.end())
+            next = m_waiting.begin();
+        m_lastCustomer = next->first;
+        const PendingRead item = next->second.front();
+        next->second.pop_front();
+        if (next->second.empty())
+            m_waiting.erase(next);
         const Storage::OperationId operation = m_operations->next();
         m_inFlight[operation] = item.claim;
         m_table->read(operation, item.key);
--- a/src/libs/claims/rowreader.h
+++ b/src/libs/claims/rowreader.h
@@ -29,7 +29,7 @@
     std::optional<ClaimId> handle(const Storage::TableOutcome &outcome);
 
 private:
-    struct Item
+    struct PendingRead
     {
         ClaimId claim = 0;
         std::string key;
@@ -40,9 +40,9 @@
     std::size_t m_largestInFlight = 0;
     Storage::TableService *m_table;
     Storage::OperationIds *m_operations;
-    std::map<Base::CustomerId, std::deque<Item>> m_waiting;
+    std::map<Base::CustomerId, std::deque<PendingRead>> m_waiting;
     /// Whose turn was last.
-    Base::CustomerId m_last;
+    Base::CustomerId m_lastCustomer;
     std::map<Storage::OperationId, ClaimId> m_inFlight;
 };
 
--- a/src/libs/claims/rowwriter.cpp
+++ b/src/libs/claims/rowwriter.cpp
@@ -27,7 +27,7 @@
         if (batch.empty())
             return;
         std::vector<Storage::TableWrite> writes;
-        for (const Item &it : batch)
+        for (const PendingWrite &it : batch)
             writes.push_back(it.write);
         const Storage::OperationId operation = m_operations->next();
         m_inFlight[operation] = std::move(batch);
@@ -59,7 +59,7 @@
     std::set<std::string> keys;
     std::size_t bytes = 0;
     while (!m_queue.empty() && batch.size() < m_policy.largestBatch) {
-        Item &next = m_queue.front();
+        PendingWrite &next = m_queue.front();
         bytes += next.write.value ? next.write.value->size() : 0;
         const bool isFull = !batch.empty() && bytes > m_policy.largestBatchBytes;
         // Two callers with one key: in one transaction neither could win.
@@ -76,8 +76,8 @@
     std::map<std::string, Storage::RowVersion> versions;
     for (const Storage::TableRow &row : outcome.rows)
         versions[row.key] = row.version;
-    for (const Item &it : batch) {
-        RowResult result{it.claim, outcome.status, 0};
+    for (const PendingWrite &it : batch) {
+        RowWriteResult result{it.claim, outcome.status, 0};
         const auto version = versions.find(it.write.key);
         if (version != versions.end())
             result.version = version->second;
--- a/src/libs/claims/rowwriter.h
+++ b/src/libs/claims/rowwriter.h
@@ -28,7 +28,7 @@
 };
 
 /// What came of one row's write.
-struct RowResult
+struct RowWriteResult
 {
     ClaimId claim = 0;
     Storage::TableStatus status = Storage::TableStatus::Unknown;
@@ -61,15 +61,15 @@
     /// When flush() has something to send.
     Base::TimePoint nextDue() const;
     bool handle(const Storage::TableOutcome &outcome);
-    std::vector<RowResult> takeResults() { return std::exchange(m_results, {}); }
+    std::vector<RowWriteResult> takeResults() { return std::exchange(m_results, {}); }
 
 private:
-    struct Item
+    struct PendingWrite
     {
         ClaimId claim = 0;
         Storage::TableWrite write;
     };
-    using Batch = std::vector<Item>;
+    using Batch = std::vector<PendingWrite>;
 
     Batch nextBatch();
     void finish(const Batch &batch, const Storage::TableOutcome &outcome);
@@ -77,9 +77,9 @@
     RowWriterPolicy m_policy;
     Storage::TableService *m_table;
     Storage::OperationIds *m_operations;
-    std::deque<Item> m_queue;
+    std::deque<PendingWrite> m_queue;
     std::map<Storage::OperationId, Batch> m_inFlight;
-    std::vector<RowResult> m_results;
+    std::vector<RowWriteResult> m_results;
 };
 
 } // namespace Claims
