--- a/tests/auto/claims/claimfleet.h
+++ b/tests/auto/claims/claimfleet.h
@@ -16,7 +16,7 @@
 using namespace std::chrono_literals;
 
 /// A call that reached the backend server.
-struct Sent
+struct SentCall
 {
     std::string key;
     Base::RequestKey request;
@@ -39,7 +39,7 @@
         : below(table, seed)
         , random(seed)
         , gateway(std::move(*Storage::TableGateway::create({}, below, random)))
-        , book(std::move(
+        , registry(std::move(
               *Claims::ClaimBook::create(policy, Base::HostId(name), seed, *gateway, ids, random)))
         , m_name(name)
     {}
@@ -50,7 +50,7 @@
         Base::RequestKey request{Base::HostId(m_name), 1, ++m_serial};
         const Claims::ClaimSubject subject{Base::CustomerId(customer), key, hash};
         m_work[request].subject = subject;
-        book.claim(request, subject, now, wall(now));
+        registry.claim(request, subject, now, wall(now));
         return request;
     }
 
@@ -62,7 +62,7 @@
                                                                       + skew);
     }
 
-    void step(Base::TimePoint now, std::vector<Sent> &journal, std::vector<Verdict> &verdicts)
+    void step(Base::TimePoint now, std::vector<SentCall> &sentCalls, std::vector<Verdict> &verdicts)
     {
         for (const Storage::TableOutcome &outcome : below.step(now))
             m_inbox.push_back(outcome);
@@ -70,34 +70,34 @@
             return;
         for (const Storage::TableOutcome &outcome : std::exchange(m_inbox, {}))
             gateway->handle(outcome, now);
-        book.advance(now);
+        registry.advance(now);
         for (int i = 0; i < 3; ++i) {
             gateway->advance(now);
             for (const Storage::TableOutcome &outcome : gateway->takeOutcomes())
                 handle(outcome, now);
         }
-        for (const Claims::ClaimOutcome &outcome : book.takeOutcomes())
-            decided(outcome, now, verdicts);
+        for (const Claims::ClaimOutcome &outcome : registry.takeOutcomes())
+            handleOutcome(outcome, now, verdicts);
         for (auto it = m_work.begin(); it != m_work.end();)
-            it = work(it->first, it->second, now, journal) ? m_work.erase(it) : std::next(it);
+            it = stepWork(it->first, it->second, now, sentCalls) ? m_work.erase(it) : std::next(it);
     }
 
-    bool isUndecided(const Base::RequestKey &request) const { return m_work.contains(request); }
+    bool isOpen(const Base::RequestKey &request) const { return m_work.contains(request); }
 
     Fakes::FaultyTable below;
     Base::SeededRandom random;
     Storage::OperationIds ids;
     std::unique_ptr<Storage::TableGateway> gateway;
-    Claims::ClaimBook book;
+    Claims::ClaimBook registry;
     Base::Duration skew{};
     Base::TimePoint frozenUntil{};
     bool isCrashed = false;
     /// Length of the freezes between the check and the sending.
-    Base::Duration windowFreeze{};
+    Base::Duration freezeBeforeSend{};
     /// Longest wait for a permit, and longest run.
     Base::Duration longestWait = 2s;
     /// Calls done that are not the book's.
-    std::size_t foreignDone = 0;
+    std::size_t otherCallsDone = 0;
     /// Keys whose claim was left standing on purpose.
     std::vector<std::string> abandoned;
 
@@ -115,31 +115,31 @@
     void handle(const Storage::TableOutcome &outcome, Base::TimePoint now)
     {
         const bool isDone = outcome.status == Storage::TableStatus::Done;
-        if (!book.handle(outcome, now) && isDone)
-            ++foreignDone;
+        if (!registry.handle(outcome, now) && isDone)
+            ++otherCallsDone;
     }
 
-    Base::Duration someTime()
+    Base::Duration randomDelay()
     {
         return Base::Duration(random.next() % static_cast<std::uint64_t>(longestWait.count()));
     }
 
-    void decided(const Claims::ClaimOutcome &outcome, Base::TimePoint now,
-                 std::vector<Verdict> &verdicts)
+    void handleOutcome(const Claims::ClaimOutcome &outcome, Base::TimePoint now,
+                       std::vector<Verdict> &verdicts)
     {
         Work &work = m_work.at(outcome.request);
         verdicts.push_back({outcome, work.subject});
         if (outcome.verdict == Claims::ClaimVerdict::Claimed) {
             work.fence = outcome.fence;
-            work.sendAt = now + someTime();
+            work.sendAt = now + randomDelay();
         } else {
             m_work.erase(outcome.request);
         }
     }
 
     /// Returns whether the request has ended.
-    bool work(const Base::RequestKey &request, Work &work, Base::TimePoint now,
-              std::vector<Sent> &journal)
+    bool stepWork(const Base::RequestKey &request, Work &work, Base::TimePoint now,
+                  std::vector<SentCall> &sentCalls)
     {
         if (work.endAt && now >= *work.endAt) {
             end(request, work, now);
@@ -147,32 +147,32 @@
         }
         if (work.endAt || !work.sendAt || now < *work.sendAt)
             return false;
-        if (!work.isChecked && !book.maySend(request, now)) {
-            book.release(request, now);
+        if (!work.isChecked && !registry.maySend(request, now)) {
+            registry.release(request, now);
             return true;
         }
         // The bytes leave a step after the check, and some routers freeze just between.
         if (!std::exchange(work.isChecked, true)) {
             if (random.next() % 8 == 0)
-                frozenUntil = now + windowFreeze;
+                frozenUntil = now + freezeBeforeSend;
             return false;
         }
         work.hasRun = random.next() % 4 != 0;
-        journal.push_back({work.subject.key, request, work.fence, work.hasRun});
-        work.endAt = now + someTime();
+        sentCalls.push_back({work.subject.key, request, work.fence, work.hasRun});
+        work.endAt = now + randomDelay();
         return false;
     }
 
     void end(const Base::RequestKey &request, const Work &work, Base::TimePoint now)
     {
         if (!work.hasRun) {
-            book.release(request, now); // The server said that it did not run.
+            registry.release(request, now); // The server said that it did not run.
         } else if (random.next() % 4 == 0) {
             abandoned.push_back(work.subject.key);
-            book.abandon(request);
+            registry.abandon(request);
         } else {
-            book.complete(request, work.subject.key + std::to_string(work.subject.contentHash),
-                          now);
+            registry.complete(request, work.subject.key + std::to_string(work.subject.contentHash),
+                              now);
         }
     }
 
@@ -200,7 +200,7 @@
         for (const Base::TimePoint end = now + duration; now < end;) {
             now += stride;
             for (const auto &it : routers)
-                it->step(now, journal, verdicts);
+                it->step(now, sentCalls, verdicts);
         }
     }
 
@@ -233,7 +233,7 @@
     Base::SeededRandom random;
     std::vector<std::unique_ptr<Router>> routers;
     Base::TimePoint now{};
-    std::vector<Sent> journal;
+    std::vector<SentCall> sentCalls;
     std::vector<Verdict> verdicts;
 };
 
--- a/tests/auto/claims/tst_claimbook.cpp
+++ b/tests/auto/claims/tst_claimbook.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Random faults of the network and the routers; one or two at a time.
-void disturb(Fleet &fleet)
+void injectFaults(Fleet &fleet)
 {
     Base::SeededRandom &random = fleet.random;
     for (const auto &it : fleet.routers) {
@@ -40,11 +40,11 @@
     return policy;
 }
 
-void play(Fleet &fleet, std::size_t requests)
+void runRandomLoad(Fleet &fleet, std::size_t requests)
 {
     for (std::size_t i = 0; i < requests; ++i) {
         if (i % 4 == 0)
-            disturb(fleet);
+            injectFaults(fleet);
         const std::string key = "k" + std::to_string(fleet.random.next() % 6);
         const std::uint64_t hash = fleet.random.next() % 5 == 0 ? 2 : 1;
         // Duplicates reach two routers at once.
@@ -76,22 +76,22 @@
         Fleet fleet(seed, 3, shortLease());
         for (const auto &it : fleet.routers) {
             it->skew = std::chrono::milliseconds(fleet.random.next() % 3000);
-            it->windowFreeze = 60s;
+            it->freezeBeforeSend = 60s;
         }
-        play(fleet, 40);
+        runRandomLoad(fleet, 40);
         std::map<std::string, int> runs;
         std::map<std::string, std::uint64_t> fences;
         std::set<Base::RequestKey> sent;
-        for (const Sent &it : fleet.journal) {
+        for (const SentCall &it : fleet.sentCalls) {
             RC_ASSERT(it.fence > fences[it.key]);
             fences[it.key] = it.fence;
             sent.insert(it.request);
             runs[it.key] += it.hasRun ? 1 : 0;
             RC_ASSERT(runs[it.key] <= 1);
         }
-        std::set<Base::RequestKey> told;
+        std::set<Base::RequestKey> decidedRequests;
         for (const Verdict &it : fleet.verdicts) {
-            RC_ASSERT(told.insert(it.outcome.request).second);
+            RC_ASSERT(decidedRequests.insert(it.outcome.request).second);
             if (nothingRan(it.outcome.verdict))
                 RC_ASSERT(!sent.contains(it.outcome.request));
             if (it.outcome.verdict == ClaimVerdict::Completed)
@@ -107,17 +107,17 @@
 {
     rc::prop("unless its owner crashed", [](std::uint64_t seed) {
         Fleet fleet(seed, 3, shortLease());
-        play(fleet, 25);
-        std::set<std::string> excused;
-        for (const Sent &it : fleet.journal)
-            excused.insert(it.key);
+        runRandomLoad(fleet, 25);
+        std::set<std::string> sentKeys;
+        for (const SentCall &it : fleet.sentCalls)
+            sentKeys.insert(it.key);
         for (const auto &it : fleet.routers) {
-            RC_ASSERT((it->isCrashed || it->book.unsettled() == 0U));
+            RC_ASSERT((it->isCrashed || it->registry.unsettled() == 0U));
             if (it->isCrashed)
                 return;
         }
         for (const char *key : {"k0", "k1", "k2", "k3", "k4", "k5"}) {
-            if (!excused.contains(key))
+            if (!sentKeys.contains(key))
                 RC_ASSERT(fleet.ask(0, key).verdict == ClaimVerdict::Claimed);
         }
     });
@@ -128,7 +128,7 @@
 TEST_CASE("an outage that flaps kills no router")
 {
     Fleet fleet(675505802189U, 3, shortLease());
-    CHECK_NOTHROW(play(fleet, 25));
+    CHECK_NOTHROW(runRandomLoad(fleet, 25));
 }
 
 // A seller publishes a listing; the router freezes with the grant in its hands and wakes after
@@ -138,15 +138,15 @@
     Fleet fleet(1);
     const Base::RequestKey request = fleet.router(0).claim("k", 1, fleet.now);
     fleet.run(50ms);
-    REQUIRE(fleet.router(0).book.maySend(request, fleet.now));
-    REQUIRE(fleet.journal.empty());
+    REQUIRE(fleet.router(0).registry.maySend(request, fleet.now));
+    REQUIRE(fleet.sentCalls.empty());
     fleet.router(0).frozenUntil = fleet.now + 70s;
     fleet.run(67s);
     CHECK(fleet.ask(1, "k").verdict == ClaimVerdict::Undecidable);
     CHECK(fleet.ask(1, "k", 2).verdict == ClaimVerdict::Conflict);
     fleet.run(10s);
-    CHECK(fleet.journal.empty());
-    CHECK_FALSE(fleet.router(0).book.maySend(request, fleet.now));
+    CHECK(fleet.sentCalls.empty());
+    CHECK_FALSE(fleet.router(0).registry.maySend(request, fleet.now));
     CHECK(fleet.ask(1, "k").verdict == ClaimVerdict::Claimed);
 }
 
@@ -156,8 +156,8 @@
     fleet.router(0).longestWait = 400s;
     const Base::RequestKey request = fleet.router(0).claim("k", 1, fleet.now);
     fleet.run(100s);
-    REQUIRE(fleet.router(0).isUndecided(request));
-    CHECK(fleet.router(0).book.maySend(request, fleet.now));
+    REQUIRE(fleet.router(0).isOpen(request));
+    CHECK(fleet.router(0).registry.maySend(request, fleet.now));
     CHECK(fleet.ask(1, "k").verdict == ClaimVerdict::InProgress);
 }
 
@@ -175,7 +175,7 @@
         const std::string key = std::to_string(i);
         const Base::RequestKey request = router.claim(key, 1, fleet.now);
         fleet.run(50ms);
-        router.book.complete(request, answers[i], fleet.now);
+        router.registry.complete(request, answers[i], fleet.now);
         fleet.run(50ms);
         const ClaimOutcome outcome = fleet.ask(1, key);
         CHECK(outcome.verdict == verdicts[i]);
@@ -195,7 +195,7 @@
     fleet.run(20ms);
     REQUIRE(fleet.outcome(request));
     CHECK(fleet.outcome(request)->verdict == ClaimVerdict::Unavailable);
-    CHECK(fleet.journal.empty());
+    CHECK(fleet.sentCalls.empty());
 }
 
 TEST_CASE("any bytes in a row give a typed outcome")
@@ -297,7 +297,7 @@
         if (i % 100 == 99) // The configuration's.
             router.gateway->read(1'000'000 + ++foreignReads, "head");
         fleet.run(50ms);
-        CHECK(router.book.undecided() <= ClaimPolicy().largestUndecided + 5);
+        CHECK(router.registry.undecided() <= ClaimPolicy().largestUndecided + 5);
     }
     fleet.run(10s);
     CHECK(fleet.verdicts.size() == 400 + 12000 + 30);
@@ -305,5 +305,5 @@
         return fleet.outcome(request)->verdict == ClaimVerdict::Claimed;
     });
     CHECK(claimed == 30);
-    CHECK(router.foreignDone == foreignReads);
+    CHECK(router.otherCallsDone == foreignReads);
 }
--- a/tests/auto/claims/tst_claimslope.cpp
+++ b/tests/auto/claims/tst_claimslope.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-struct Slope
+struct LoadResult
 {
     double rowsPerWrite = 0;
     double fleetWritesPerSecond = 0;
     Base::Milliseconds median{};
-    Base::Milliseconds slow{};
-    std::size_t asked = 0;
+    Base::Milliseconds p95{};
+    std::size_t claims = 0;
     std::size_t refused = 0;
 };
 
 /// One router of a fleet, with its share of the table's rate and of the fleet's claims.
-Slope measure(std::size_t routers, std::size_t fleetClaimsPerSecond)
+LoadResult measure(std::size_t routers, std::size_t fleetClaimsPerSecond)
 {
     constexpr int seconds = 120;
     Fleet fleet(20261, 1);
@@ -28,7 +28,7 @@
     router.gateway->setFleetSize(routers);
     std::map<Base::RequestKey, Base::TimePoint> asked;
     std::vector<Base::Milliseconds> waits;
-    Slope slope;
+    LoadResult result;
     std::size_t seen = 0;
     for (int step = 0; step < seconds * 100; ++step) {
         // Arrivals at random: a coin for each hundredth of a hundredth of a second.
@@ -39,19 +39,19 @@
         fleet.run(10ms);
         for (; seen < fleet.verdicts.size(); ++seen) {
             const ClaimOutcome &outcome = fleet.verdicts[seen].outcome;
-            slope.refused += outcome.verdict == ClaimVerdict::Claimed ? 0 : 1;
+            result.refused += outcome.verdict == ClaimVerdict::Claimed ? 0 : 1;
             waits.push_back(
                 std::chrono::duration_cast<Base::Milliseconds>(fleet.now - asked[outcome.request]));
         }
     }
     std::sort(waits.begin(), waits.end());
-    slope.asked = asked.size();
-    slope.median = waits.at(waits.size() / 2);
-    slope.slow = waits.at(waits.size() * 95 / 100);
+    result.claims = asked.size();
+    result.median = waits.at(waits.size() / 2);
+    result.p95 = waits.at(waits.size() * 95 / 100);
     const auto writes = static_cast<double>(router.below.writeCalls);
-    slope.rowsPerWrite = static_cast<double>(router.below.written.size()) / writes;
-    slope.fleetWritesPerSecond = writes * static_cast<double>(routers) / seconds;
-    return slope;
+    result.rowsPerWrite = static_cast<double>(router.below.written.size()) / writes;
+    result.fleetWritesPerSecond = writes * static_cast<double>(routers) / seconds;
+    return result;
 }
 
 } // namespace
@@ -62,10 +62,10 @@
     std::cout << "routers claims/s rows/write writes/s median/ms 95%/ms asked refused\n";
     for (const std::size_t routers : {8U, 32U, 128U, 420U}) {
         for (const std::size_t claims : {21U, 210U, 1050U, 2100U, 4200U}) {
-            const Slope it = measure(routers, claims);
+            const LoadResult it = measure(routers, claims);
             std::cout << routers << ' ' << claims << ' ' << it.rowsPerWrite << ' '
                       << it.fleetWritesPerSecond << ' ' << it.median.count() << ' '
-                      << it.slow.count() << ' ' << it.asked << ' ' << it.refused << '\n';
+                      << it.p95.count() << ' ' << it.claims << ' ' << it.refused << '\n';
         }
     }
 }
