--- a/src/libs/claims/claimpolicy.h
+++ b/src/libs/claims/claimpolicy.h
@@ -8,46 +8,50 @@
 
 namespace Claims {
 
+/// The result of a claim for the request that made it.
 enum class ClaimVerdict {
-    Claimed,           ///< This request owns the key and may be sent.
-    Completed,         ///< It ran before; the stored answer is given.
-    CompletedUnstored, ///< It ran before; its answer was too large to be kept.
-    InProgress,        ///< Another request owns the key and may be running.
-    Conflict,          ///< The key was used for other content.
-    Undecidable,       ///< It may have run; its owner is gone. "ran: unknown".
-    Unavailable,       ///< The table gave no claim; nothing ran through this request.
+    Claimed,           ///< This request owns the key, and its work may be sent.
+    Completed,         ///< The work ran before; its stored answer is returned.
+    CompletedUnstored, ///< The work ran before; its answer was too large or no UTF-8.
+    InProgress,        ///< Another request owns the key, and its work may be running.
+    Conflict,          ///< The key was used for different content.
+    Undecidable,       ///< The work may have run, but its owner is gone: "ran: unknown".
+    Unavailable,       ///< The claim could not be made; this request ran nothing.
 };
 
-/// docs/design/claims.md gives the reasons.
+/// Time and size limits of claims. docs/design/claims.md derives the defaults.
 struct ClaimPolicy
 {
-    /// How long a claim is taken for alive without a renewal.
+    /// Time for which a claim stays valid without a renewal.
     Base::Duration lease = std::chrono::seconds(60);
-    /// How long a claim is remembered after its last write. The promise of at most once ends
-    /// with it.
+    /// Time for which a claim is kept after its last write. The guarantee that work runs at most
+    /// once ends with it.
     std::chrono::hours retention{24};
-    /// How long the row of a released key outlives it. Longer than any write can be under way,
-    /// so that a late write of the released claim meets a row and fails.
+    /// Time for which the row of a released claim is kept. It exceeds the time that any write can
+    /// be in flight, so that a late write of the released claim finds a row and fails.
     std::chrono::minutes releasedRetention{10};
-    /// By how much the calendar clocks of two hosts may differ.
+    /// Largest difference between the calendar clocks of two hosts.
     Base::Duration clockSkew = std::chrono::seconds(5);
-    /// Longer answers are not kept, in bytes.
+    /// Size limit of a stored answer in bytes. Larger answers are not stored.
     std::size_t largestAnswer = std::size_t{16} * 1024;
-    /// Attempts at making a claim, each a write or a read, after the first write.
+    /// Maximum number of further calls, writes or reads, that try to make a claim after its first
+    /// write.
     std::uint32_t largestAttempts = 4;
-    /// A claim is decided within this time.
+    /// Every claim gets its verdict within this time.
     Base::Duration decisionTimeout = std::chrono::seconds(5);
-    /// Pause before a failed call is made again; doubles up to the longest.
+    /// Pause before a failed call is repeated. It doubles with each failure up to longestPause.
     Base::Duration firstPause = std::chrono::milliseconds(100);
     Base::Duration longestPause = std::chrono::seconds(30);
-    /// Claims that wait to be brought to their end in the table; with more, none is begun.
+    /// Maximum number of claims whose request has ended but whose final row is not written yet.
+    /// At this number new claims are Unavailable.
     std::size_t largestUnsettled = 1000;
-    /// Claims of one customer that wait for their verdict; more are Unavailable at once, so that
-    /// a flood by one customer turns away its own work.
+    /// Maximum number of claims of one customer that wait for their verdict. Further ones are
+    /// Unavailable at once, so that a flood by one customer sheds only that customer's work.
     std::size_t largestUndecided = 64;
-    /// Reads under way.
+    /// Maximum number of reads in flight.
     std::size_t largestReads = 4;
-    /// How long after a taken key a customer's claims are read before they are written.
+    /// Time after a customer's claim finds its key taken during which the rows of this customer's
+    /// claims are read before they are written.
     Base::Duration readFirstPeriod = std::chrono::seconds(60);
     RowWriterPolicy writer;
 };
