--- a/src/libs/claims/claimrow.cpp
+++ b/src/libs/claims/claimrow.cpp
@@ -11,7 +11,7 @@
 using Json = nlohmann::json;
 using Milliseconds = std::chrono::milliseconds;
 
-/// The year 2200; above it, nanoseconds since 1970 pass 63 bits before long.
+/// Latest accepted time, the year 2200. From 2262 on, nanoseconds since 1970 overflow 63 bits.
 constexpr std::uint64_t latestTimeMs = 7'258'118'400'000ULL;
 
 constexpr const char *claimedName = "claimed";
@@ -90,7 +90,7 @@
 
 std::string claimKey(const ClaimSubject &subject)
 {
-    // With the length in front, no slash in a name can make two subjects alike.
+    // The length prefix keeps subjects distinct even if their names contain slashes.
     const std::string &customer = subject.customer.value();
     return claimPrefix + std::to_string(customer.size()) + ':' + customer + '/' + subject.key;
 }
@@ -101,7 +101,8 @@
     try {
         return json.dump();
     } catch (const Json::type_error &) {
-        // Not UTF-8. An answer that would be changed by storing it must not be replayed.
+        // The answer is not valid UTF-8. Storing it would change it, and a changed answer must not
+        // be replayed.
         json.erase("answer");
         return json.dump(-1, ' ', false, Json::error_handler_t::replace);
     }
--- a/src/libs/claims/claimrow.h
+++ b/src/libs/claims/claimrow.h
@@ -9,7 +9,8 @@
 
 namespace Claims {
 
-/// What a caller marked as not repeatable: its customer, its key, the hash of its content.
+/// A call that must not be repeated: its customer, its idempotency key and the hash of its
+/// content.
 struct ClaimSubject
 {
     Base::CustomerId customer;
@@ -17,44 +18,50 @@
     std::uint64_t contentHash = 0;
 };
 
+/// The state of a key in the table.
 enum class ClaimState {
-    Claimed,   ///< Its owner may send the work, or has sent it.
-    Completed, ///< The work ran to its end.
-    Released,  ///< Its owner says that it never sent the work and never will: free to claim.
+    Claimed,   ///< The owner may send the work, or has sent it.
+    Completed, ///< The work has completed.
+    Released,  ///< The owner never sent the work and never will; the key can be claimed.
 };
 
-/// The row of one key in the platform's table. Only the owner of a Claimed row writes it.
+/// The row of one key in the platform's table. Only its owner may write a Claimed row.
 struct ClaimRow
 {
     ClaimState state = ClaimState::Claimed;
-    /// Minted by the claimer before its first write; tells its own row from all others.
+    /// Unique token that the claimer generates before its first write. It identifies the
+    /// claimer's own row.
     std::string token;
     Base::HostId owner;
     Base::Incarnation incarnation = 0;
     std::uint64_t contentHash = 0;
-    /// Grows with each owner of the key.
+    /// Fencing number, which grows with each owner of the key.
     std::uint64_t fence = 0;
-    /// Until then the owner is taken for alive.
+    /// End of the lease: until then the owner counts as alive.
     Base::WallTime leaseUntil{};
-    /// Until then the row is kept.
+    /// End of the retention: the row may be deleted after it.
     Base::WallTime retainUntil{};
-    /// False if the answer was too large, or is no UTF-8 text.
+    /// Whether \a answer holds the answer. It is false if the answer was too large or is not
+    /// valid UTF-8.
     bool isAnswerKept = false;
     std::string answer;
 
     bool operator==(const ClaimRow &) const = default;
 };
 
-/// A row that no version of this code wrote.
+/// Error of decodeClaim(): the text is not a valid claim row.
 struct MalformedClaimRow
 {};
 
+/// Prefix of the table keys of all claim rows.
 inline constexpr const char *claimPrefix = "claim/";
 
-/// Two subjects have one row key only if customer and key are the same.
+/// Returns the key of the row of \a subject. Two subjects share a row only if their customers
+/// and their keys are equal.
 std::string claimKey(const ClaimSubject &subject);
+/// Returns \a row as JSON. An answer that is not valid UTF-8 is left out.
 std::string encodeClaim(const ClaimRow &row);
-/// Fails with MalformedClaimRow; any bytes are safe.
+/// Parses a row. Fails with MalformedClaimRow; \a text may hold arbitrary bytes.
 Base::Result<ClaimRow> decodeClaim(const std::string &text);
 
 } // namespace Claims
