--- a/src/libs/claims/openclaim.h
+++ b/src/libs/claims/openclaim.h
@@ -10,50 +10,56 @@
 
 namespace Claims {
 
-/// What a claim's next write is for.
+/// The purpose of a claim's next write.
 enum class ClaimGoal { Acquire, Renew, Complete, Release };
 
+/// The table call that a claim waits for.
 enum class ClaimStep {
     Idle,
     Writing,
     Reading,
-    Pausing, ///< Goes on when its timer is due.
+    Pausing, ///< The claim continues when its timer is due.
 };
 
-/// A claim that this process has a hand in: being made, held, or being brought to its end in
-/// the table after its request is gone.
+/// A claim that this process is making, holds, or has yet to complete or release in the table
+/// after the request has ended.
 struct OpenClaim
 {
     Base::CustomerId customer;
     std::string key;
-    /// As this process wrote it last, or will write it.
+    /// The row as this process last wrote it or is about to write it.
     ClaimRow row;
-    /// Version that the next write demands.
+    /// Row version that the next write expects.
     Storage::RowVersion expected = Storage::absentRow;
     ClaimGoal goal = ClaimGoal::Acquire;
-    /// Goal of the write under way.
+    /// Goal of the write in flight.
     ClaimGoal writingGoal = ClaimGoal::Acquire;
     ClaimStep step = ClaimStep::Idle;
-    /// After the pause the row is read before it is written.
+    /// Whether the row is read, rather than written, after the pause.
     bool isReadDue = false;
-    /// A write whose answer is not known may have made, or may yet make, the row.
+    /// Whether a write of this process has created the row or, with its answer unknown, may have
+    /// created it or may still create it.
     bool mayBeWritten = false;
-    /// The row was seen to be this process's own; the work may have left since.
+    /// Whether the table has confirmed that this process owns the row. The work may have been
+    /// sent since.
     bool isOwned = false;
-    /// Owned, but the row is another's now or gone (swept away after its retention).
+    /// Whether an owned row now belongs to another process or was deleted after its retention.
     bool isLost = false;
-    /// Attempts since the last success.
+    /// Number of attempts since the last success.
     std::uint32_t attempts = 0;
 
+    /// Start of the claim by the monotonic and by the calendar clock. wallAt() converts between
+    /// the two.
     Base::TimePoint startedAt;
     Base::WallTime startedAtWall;
-    /// Begin of the write whose lease counts.
+    /// Start of the write that the lease is counted from.
     Base::TimePoint writtenAt;
-    /// By this process's own clock, counted from before the write left.
+    /// End of the lease by this process's own clock, counted from before the write was sent.
     Base::TimePoint leaseEnd;
-    /// When advance() looks at it; only the latest one set counts.
+    /// When the claim's timer is due. Setting it again replaces the earlier time.
     Base::TimePoint timerAt;
 
+    /// Returns the calendar time at \a now.
     Base::WallTime wallAt(Base::TimePoint now) const
     {
         return startedAtWall
