--- a/src/libs/claims/claimjudge.h
+++ b/src/libs/claims/claimjudge.h
@@ -10,19 +10,20 @@
 
 namespace Claims {
 
-/// What a row that was read says to the claimer with a token of its own.
+/// What a row that was read means for a claimer.
 enum class RowKind {
-    Absent,
-    Own,               ///< The claimer wrote it.
-    Free,              ///< Released by its owner, who never sent the work.
-    OtherContent,      ///< The key is taken for other content.
-    Completed,         ///< The answer is in the row.
-    CompletedUnstored, ///< Completed; the answer was not kept.
-    Live,              ///< Another's, within its lease.
-    Lapsed,            ///< Another's, past its lease: it may or may not have been sent.
-    Malformed,         ///< Says nothing; the work may have run.
+    Absent,            ///< There is no row.
+    Own,               ///< The claimer wrote the row.
+    Free,              ///< The owner released the row without sending the work.
+    OtherContent,      ///< The key is taken for different content.
+    Completed,         ///< The work has completed; the row holds its answer.
+    CompletedUnstored, ///< The work has completed; its answer was not stored.
+    Live,              ///< Another claimer owns the row, and its lease is valid.
+    Lapsed,            ///< The lease of another claimer has expired; it may have sent the work.
+    Malformed,         ///< The row cannot be parsed; the work may have run.
 };
 
+/// A row that was read, with its kind and its version.
 struct ClassifiedRow
 {
     RowKind kind = RowKind::Absent;
@@ -30,16 +31,17 @@
     Storage::RowVersion version = 0;
 };
 
-/// Judges the rows of a read of one key. \a own is the claimer's row as it wrote it.
+/// Classifies the result of reading one key: \a rows holds its row or is empty. \a own is the
+/// claimer's own row.
 ///
-/// The content is compared before the lease: a lapsed key of other content is a conflict still.
-/// A lease of another host is judged by calendar time with \a clockSkew as margin. A wrong
-/// judgement only changes between "running" and "may have run" what a caller is told, since no
-/// lapsed claim is taken over.
+/// The content is compared before the lease, so that a key with different content is a conflict
+/// even after its lease has expired. The lease of another host is compared by calendar time, with
+/// \a clockSkew as margin. An error of the clocks only changes the answer to a caller between
+/// "running" and "may have run", since an expired claim is never taken over.
 ClassifiedRow classifyRow(const std::vector<Storage::TableRow> &rows, const ClaimRow &own,
                           Base::WallTime wallNow, Base::Duration clockSkew);
 
-/// What the claimer's caller is told of another's row.
+/// Returns the verdict for a claimer that found a row of another claimer.
 ClaimVerdict verdictOf(RowKind kind);
 
 } // namespace Claims
