--- a/src/libs/claims/claimrows.cpp
+++ b/src/libs/claims/claimrows.cpp
@@ -10,7 +10,8 @@
 
 std::uint64_t fenceAt(Base::WallTime time)
 {
-    // Grows over a row that was swept away as well, where no counter is left to go on from.
+    // A fence derived from the time also exceeds that of a row that has been deleted after its
+    // retention, where no counter is left to continue.
     using std::chrono::milliseconds;
     const auto count = std::chrono::duration_cast<milliseconds>(time.time_since_epoch()).count();
     return static_cast<std::uint64_t>(std::max<std::int64_t>(count, 1));
@@ -44,7 +45,7 @@
     claim.row.incarnation = m_incarnation;
     claim.row.contentHash = subject.contentHash;
     claim.row.fence = fenceAt(wallNow);
-    // The lease counts from here, whichever write of the claim takes effect.
+    // The lease is counted from here, whichever write of the claim takes effect.
     claim.writtenAt = now;
     if (isRepeating(subject.customer, now))
         read(id, claim);
@@ -86,7 +87,7 @@
     OpenClaim *claim = find(id);
     if (!claim)
         return;
-    // Never owned: isHeld() was never true, so the work can't have left.
+    // For a claim that was never owned, isHeld() was never true, so the work cannot have been sent.
     if (claim->isOwned)
         m_claims.erase(id);
     else
@@ -99,7 +100,7 @@
     claim.attempts = 0;
     const bool isBusy = claim.step == ClaimStep::Writing || claim.step == ClaimStep::Reading;
     if (isBusy)
-        return; // What is under way is classified by the new goal.
+        return; // The outcome of the call in flight is handled for the new goal.
     if (claim.isOwned)
         write(id, claim, now);
     else if (claim.mayBeWritten)
@@ -216,8 +217,8 @@
     const bool isBusy = claim.step == ClaimStep::Writing || claim.step == ClaimStep::Reading;
     if (isBusy)
         return;
-    // Lapsed: not renewed, since others may have been told so; the request is refused by
-    // maySend() and releases the key.
+    // An expired lease is not renewed, since other callers may already have been told that it
+    // expired. maySend() refuses the request, which then releases the key.
     if (claim.goal == ClaimGoal::Renew && now >= claim.leaseEnd)
         return;
     if (claim.isReadDue)
@@ -245,8 +246,9 @@
     case TableStatus::Conflict:
         break;
     }
-    // Somebody's row, or our own from a write whose answer was lost: its token tells. Without
-    // this look a lost answer would leave our own claim in the way of its own request.
+    // The row belongs to another claimer, or to this one from a write whose answer was lost. The
+    // token of the row tells which. Without this read, a lost answer would make a claim block its
+    // own request.
     if (claim.goal == ClaimGoal::Release && !claim.mayBeWritten)
         m_claims.erase(id);
     else
@@ -262,7 +264,8 @@
         setOwned(id, claim, now);
         return;
     case ClaimGoal::Renew:
-        // An answer after the old lease's end renews nothing: maySend() said no meanwhile.
+        // An answer that arrives after the end of the old lease does not renew it, since maySend()
+        // has returned false in the meantime.
         if (now < claim.leaseEnd)
             claim.leaseEnd = claim.writtenAt + m_policy.lease;
         if (claim.goal == ClaimGoal::Renew)
@@ -322,8 +325,9 @@
         claim.isLost = true;
         return;
     }
-    // A write that timed out may arrive yet. Written again with the same token, whichever comes
-    // first makes the row and the other fails; a released row keeps it out in the same way.
+    // A write that timed out may still arrive. The row is written again with the same token:
+    // whichever write comes first creates the row, and the other fails. A released row blocks a
+    // late write in the same way.
     claim.expected = Storage::absentRow;
     if (claim.goal == ClaimGoal::Release && !claim.mayBeWritten)
         m_claims.erase(id);
@@ -365,8 +369,8 @@
         handleForeignRow(id, claim, classified, now);
         return;
     }
-    // When releasing as well: a claim of ours over this row may be under way, and fails only
-    // if the row's version has changed.
+    // This is also needed for a release: a claim write of this process over the row may be in
+    // flight, and it fails only if the row's version has changed.
     claim.expected = classified.version;
     claim.row.fence = std::max(claim.row.fence, classified.row.fence + 1);
     retryWrite(id, claim, now);
@@ -379,10 +383,11 @@
         claim.isLost = true;
         return;
     }
-    // To complete or release what is another's now would undo the other's work: left alone. A
-    // late write of our own can't arrive either, while there is a row.
+    // A row of another claimer is never completed or released, since that would undo the other's
+    // work. A late write of this process cannot take effect either while there is a row.
     if (claim.goal == ClaimGoal::Acquire) {
-        // Written straight away, each repeat would break up a batch of others' claims.
+        // If its repeats were written without a read, each of them would make a batch with the
+        // claims of others fail.
         m_repeatingCustomers[claim.customer] = now + m_policy.readFirstPeriod;
         addDecision(id, claim, verdictOf(classified.kind), classified.row.answer);
     }
@@ -420,8 +425,9 @@
     const bool isBusy = claim.step == ClaimStep::Writing || claim.step == ClaimStep::Reading;
     if (isBusy)
         return;
-    // Our row may be there, or come: the key would stay taken until the end of its retention.
-    // Only this process knows that nothing was sent, so it goes on until the row is released.
+    // The row of this claim may exist or may still be created, and the key would then stay taken
+    // until the end of its retention. Only this process knows that nothing was sent, so it retries
+    // until the row is released.
     if (claim.mayBeWritten)
         pause(id, claim, true, now);
     else
--- a/src/libs/claims/claimrows.h
+++ b/src/libs/claims/claimrows.h
@@ -21,7 +21,7 @@
 
 namespace Claims {
 
-/// What a claim that was begun came to.
+/// The result of a claim that was started with ClaimProcessor::begin().
 struct ClaimDecision
 {
     ClaimId claim = 0;
@@ -30,12 +30,12 @@
     std::uint64_t fence = 0;
 };
 
-/// The rows of the claims that this process has a hand in, each driven to its goal (own, renew,
-/// complete, release) through refused calls and lost answers.
+/// Brings the row of each claim of this process to the claim's goal (acquire, renew, complete,
+/// release) in spite of refused calls and lost answers.
 ///
-/// One call of the table is under way for each claim. An answer that is lost is made up for by
-/// reading the row and comparing the token; what can't be brought to its end now is tried again
-/// with growing pauses, until the row is as it should be.
+/// Each claim has at most one table call in flight. After a lost answer the row is read and its
+/// token compared. A claim that cannot reach its goal is retried with exponential backoff until
+/// its row has the desired state.
 class ClaimProcessor
 {
 public:
@@ -43,17 +43,23 @@
                    Base::Incarnation incarnation, Storage::TableService &table,
                    Storage::OperationIds &operations, Base::RandomSource &random);
 
-    /// One decision follows, unless the claim is ended before.
+    /// Starts a claim. One decision follows, unless the claim is completed, released or abandoned
+    /// before.
     ClaimId begin(const ClaimSubject &subject, Base::TimePoint now, Base::WallTime wallNow);
-    /// Owned, and within the lease by this process's own clock.
+    /// Returns whether this process owns the claim and, by its own clock, the lease is valid.
     bool isHeld(ClaimId id, Base::TimePoint now) const;
+    /// Stores the row as completed, with \a answer if it is small enough.
     void complete(ClaimId id, const std::string &answer, Base::TimePoint now);
+    /// Stores the row as released.
     void release(ClaimId id, Base::TimePoint now);
-    /// The row stays as it is; of a claim that was never owned, it is released.
+    /// Leaves the row of an owned claim as it is. Releases a claim that was never owned.
     void abandon(ClaimId id);
 
+    /// Handles the timers that are due and sends the writes that may leave.
     void advance(Base::TimePoint now);
+    /// Returns when advance() has work to do next.
     Base::TimePoint nextDue() const;
+    /// Returns whether \a outcome belongs to a call of this object.
     bool handle(const Storage::TableOutcome &outcome, Base::TimePoint now);
     std::vector<ClaimDecision> takeDecisions() { return std::exchange(m_decisions, {}); }
     std::size_t size() const { return m_claims.size(); }
@@ -97,9 +103,10 @@
     RowReader m_reader;
     ClaimId m_lastId = 0;
     std::map<ClaimId, OpenClaim> m_claims;
-    /// Customers whose keys were found taken, and until when their claims are read first.
+    /// Customers whose keys were found taken, with the time until which their claims are read
+    /// before they are written.
     std::map<Base::CustomerId, Base::TimePoint> m_repeatingCustomers;
-    /// A claim's entries but the one at its timerAt are out of date.
+    /// Timers of the claims. Only the entry at OpenClaim::timerAt is valid; the others are stale.
     std::multimap<Base::TimePoint, ClaimId> m_timers;
     std::vector<ClaimDecision> m_decisions;
 };
