--- a/src/libs/claims/claimbook.cpp
+++ b/src/libs/claims/claimbook.cpp
@@ -105,7 +105,7 @@
 
 ClaimVerdict ClaimBook::verdictForDuplicate(const ActiveKey &active, std::uint64_t contentHash)
 {
-    // While the first one's claim is not decided, its content is not known to have the key.
+    // While the first request's claim is undecided, it is unknown which content the key belongs to.
     const bool isConflict = active.isOwned && active.contentHash != contentHash;
     return isConflict ? ClaimVerdict::Conflict : ClaimVerdict::InProgress;
 }
--- a/src/libs/claims/claimbook.h
+++ b/src/libs/claims/claimbook.h
@@ -20,72 +20,82 @@
 
 namespace Claims {
 
+/// The result of ClaimRegistry::claim() for one request.
 struct ClaimOutcome
 {
     Base::RequestKey request;
     ClaimVerdict verdict = ClaimVerdict::Unavailable;
-    /// With Completed: the stored answer.
+    /// The stored answer; only set with Completed.
     std::string answer;
-    /// With Claimed: number to send along with the work; grows with each owner of the key.
+    /// Fencing number to send along with the work; only set with Claimed. It grows with each
+    /// owner of the key.
     std::uint64_t fence = 0;
 };
 
-/// A policy under which no claim could be made or kept.
+/// Error of ClaimRegistry::create(): no claim could be made or kept under the policy.
 struct UnusableClaimPolicy
 {};
 
-/// Claims in the platform's table for work that must run at most once.
+/// Makes claims in the platform's table for work that must run at most once.
 ///
-/// A claim is a row that this process makes, conditional on there being none, before the work
-/// leaves. A claimed row is never taken over by another: its owner may have sent the work, and
-/// no clock and no fencing number can tell that it has not. Only its owner frees it, and only
-/// for work that never left. So at most one process sends the work of a key, whatever is lost,
-/// late or frozen; the lease only decides what others are told, and when a holder gives up.
+/// A claim is a row for the idempotency key of the work. This process creates the row before it
+/// sends the work, on condition that there is none. Another process never takes over a claimed
+/// row: its owner may have sent the work, and neither a clock nor a fencing number can show that
+/// it has not. Only the owner releases the row, and only for work that was never sent. So at most
+/// one process sends the work of a key, whatever messages are lost or late and whichever process
+/// freezes. The lease only decides what other callers are told, and when the holder gives up.
 ///
-/// Answers these load patterns: a surge of claims (batched writes), a table that is down
-/// (Unavailable at once, and no new claims while too many old ones wait for their end there), a
-/// key that many callers repeat at once (one owner, the others are told at the first answer), a
-/// flood by one customer (a bound on its undecided claims; its repeats are read, not written).
+/// These load patterns are handled:
+/// - A surge of claims: writes are batched.
+/// - A table that is down: claims are Unavailable at once, and no new ones are made while too
+///   many earlier ones are unsettled.
+/// - A key that many callers repeat at once: it has one owner, and the others get their verdict
+///   with the first answer of the table.
+/// - A flood by one customer: its undecided claims are limited, and the rows of its repeats are
+///   read, not written.
 class ClaimBook
 {
 public:
-    /// Fails with UnusableClaimPolicy. The references outlive the object.
+    /// Fails with UnusableClaimPolicy. The references must outlive the object.
     static Base::Result<ClaimBook> create(const ClaimPolicy &policy, const Base::HostId &self,
                                           Base::Incarnation incarnation,
                                           Storage::TableService &table,
                                           Storage::OperationIds &operations,
                                           Base::RandomSource &random);
 
-    /// One ClaimOutcome follows, within decisionTimeout, unless the request is released before.
+    /// Claims the key of \a subject for \a request. One ClaimOutcome follows within
+    /// ClaimPolicy::decisionTimeout, unless the request is completed, released or abandoned before.
     void claim(const Base::RequestKey &request, const ClaimSubject &subject, Base::TimePoint now,
                Base::WallTime wallNow);
-    /// Asked last before the work leaves: whether this process may still send it. Guards
-    /// against a process that was frozen past its lease and wakes with a grant in its hands:
-    /// its caller and the key's other callers have been told that nothing more is known.
+    /// Returns whether this process may still send the work. Must be checked last before sending.
+    /// Guards against a process that was frozen past its lease and resumes with a granted permit:
+    /// the callers of the key have been told by then that the work may have run.
     bool maySend(const Base::RequestKey &request, Base::TimePoint now) const;
-    /// The work ran; \a answer is kept for a repeat of the call.
+    /// Records that the work ran. \a answer is stored for repeats of the call.
     void complete(const Base::RequestKey &request, const std::string &answer, Base::TimePoint now);
-    /// The work certainly did not run; the key is free again.
+    /// Frees the key of work that certainly did not run.
     void release(const Base::RequestKey &request, Base::TimePoint now);
-    /// Whether it ran is not known; the claim stays.
+    /// Keeps the claim of work that may or may not have run.
     void abandon(const Base::RequestKey &request);
 
+    /// Handles the timers that are due and sends the writes that may leave.
     void advance(Base::TimePoint now);
+    /// Returns when advance() or takeOutcomes() has work to do next.
     Base::TimePoint nextDue() const
     {
         return m_outcomes.empty() ? m_processor.nextDue() : Base::TimePoint::min();
     }
-    /// Returns whether \a outcome is of a call that this object made.
+    /// Returns whether \a outcome belongs to a call of this object.
     bool handle(const Storage::TableOutcome &outcome, Base::TimePoint now);
     std::vector<ClaimOutcome> takeOutcomes() { return std::exchange(m_outcomes, {}); }
 
-    /// Claims that wait for their verdict.
+    /// Returns the number of claims that wait for their verdict.
     std::size_t undecided() const { return m_undecided.size(); }
-    /// Claims whose request is gone and whose row is not yet as it should be.
+    /// Returns the number of claims whose request has ended but whose final row is not written yet.
     std::size_t unsettled() const { return m_processor.size() - m_byRequest.size(); }
 
 private:
-    /// A key that a request of this process claims or holds.
+    /// A key that a request of this process is claiming or holds.
     struct ActiveKey
     {
         std::uint64_t contentHash = 0;
@@ -95,12 +105,13 @@
     ClaimBook(const ClaimPolicy &policy, const Base::HostId &self, Base::Incarnation incarnation,
               Storage::TableService &table, Storage::OperationIds &operations,
               Base::RandomSource &random);
-    /// Parts a request from its claim; empty if it has none.
+    /// Removes the link between a request and its claim, and returns the claim; empty if the
+    /// request has none.
     std::optional<ClaimId> detach(const Base::RequestKey &request);
-    /// What a repeat is told whose key another request of this process has.
+    /// Returns the verdict for a repeat whose key another request of this process claims or holds.
     static ClaimVerdict verdictForDuplicate(const ActiveKey &active, std::uint64_t contentHash);
     void removeUndecided(ClaimId id);
-    /// Takes over what the rows have decided.
+    /// Turns the decisions of the processor into outcomes.
     void collectDecisions();
 
     ClaimPolicy m_policy;
