--- a/src/libs/claims/rowwriter.cpp
+++ b/src/libs/claims/rowwriter.cpp
@@ -62,7 +62,7 @@
         PendingWrite &next = m_queue.front();
         bytes += next.write.value ? next.write.value->size() : 0;
         const bool isFull = !batch.empty() && bytes > m_policy.largestBatchBytes;
-        // Two callers with one key: in one transaction neither could win.
+        // Two writes of one key in one transaction would always fail both.
         if (isFull || !keys.insert(next.write.key).second)
             break;
         batch.push_back(std::move(next));
@@ -82,7 +82,8 @@
         if (version != versions.end())
             result.version = version->second;
         else if (outcome.status == TableStatus::Done)
-            result.status = TableStatus::Unknown; // Read back: the table did not say enough.
+            result.status = TableStatus::Unknown; // The answer lacks the row's version, so the row
+                                                  // must be read.
         m_results.push_back(result);
     }
 }
--- a/src/libs/claims/rowwriter.h
+++ b/src/libs/claims/rowwriter.h
@@ -13,53 +13,56 @@
 
 namespace Claims {
 
-/// Names a claim within one ClaimBook.
+/// Identifies a claim within one ClaimRegistry.
 using ClaimId = std::uint64_t;
 
+/// Limits of RowWriter.
 struct RowWriterPolicy
 {
-    /// Rows in one transaction.
+    /// Maximum number of rows in one transaction.
     std::size_t largestBatch = 32;
-    /// Length of the values in one transaction.
+    /// Maximum total size of the values in one transaction, in bytes. A single larger value still
+    /// gets a transaction of its own.
     std::size_t largestBatchBytes = std::size_t{128} * 1024;
-    /// Transactions under way; what comes meanwhile fills the next one. A second one splits the
-    /// rows over two writes where writes are scarce.
+    /// Maximum number of transactions in flight. Rows that arrive meanwhile are gathered for the
+    /// next one. A second transaction would split the rows over two writes, and writes are scarce.
     std::size_t largestInFlight = 1;
 };
 
-/// What came of one row's write.
+/// The result of one row's write.
 struct RowWriteResult
 {
     ClaimId claim = 0;
     Storage::TableStatus status = Storage::TableStatus::Unknown;
-    /// With Done: the row's new version.
+    /// The row's new version; only set with Done.
     Storage::RowVersion version = 0;
 };
 
-/// Writes rows of several claims in one transaction.
+/// Writes the rows of several claims in one transaction.
 ///
-/// Answers the load pattern of many claims at one time before a table that bears several
-/// hundred writes a second for the whole fleet. Without it each claim, renewal and completion
-/// is a write, and the fleet's work is bounded by them. A row leaves at once while the table
-/// keeps up; batches grow only while a write is under way or the table's rate is used up, and
-/// are closed no sooner than they can leave, so that light load pays no delay.
+/// Batching handles many concurrent claims on a table that takes only several hundred writes a
+/// second from the whole fleet. Without it, each claim, renewal and completion would be a write of
+/// its own, and the writes would limit the throughput of the fleet. A row is sent at once while
+/// the table keeps up. Batches grow only while a write is in flight or the table's rate is used
+/// up, and a batch is closed only when it can be sent, so that light load has no extra delay.
 ///
-/// A transaction is written whole or not at all, so one row out of date is a conflict for all
-/// of them. Each claim then reads its row and writes again if it still may. Halving the batch
-/// would take fewer calls for one bad row among 32, but 10 of them writes, of which the table
-/// bears a fifth; with 32 bad rows it would take 63 writes.
+/// A transaction is atomic, so one row with an outdated version is a conflict for all its rows.
+/// Each claim then reads its row and writes it again if it still may. Bisecting the batch would
+/// take fewer calls for one conflicting row among 32, but 10 of them would be writes, of which the
+/// table takes only a fifth as many as reads; for 32 conflicting rows it would take 63 writes.
 class RowWriter
 {
 public:
     RowWriter(const RowWriterPolicy &policy, Storage::TableService &table,
               Storage::OperationIds &operations);
 
-    /// Each call is followed by one result. \a write has an expected version.
+    /// Queues a write; one result follows for each call. \a write must have an expected version.
     void write(ClaimId claim, Storage::TableWrite write);
-    /// Sends what may leave.
+    /// Sends as many batches as the limits allow at \a now.
     void flush(Base::TimePoint now);
-    /// When flush() has something to send.
+    /// Returns when flush() has something to send.
     Base::TimePoint nextDue() const;
+    /// Returns whether \a outcome belongs to a transaction of this object.
     bool handle(const Storage::TableOutcome &outcome);
     std::vector<RowWriteResult> takeResults() { return std::exchange(m_results, {}); }
 
