--- a/src/libs/claims/rowreader.h
+++ b/src/libs/claims/rowreader.h
@@ -13,19 +13,22 @@
 
 namespace Claims {
 
-/// Reads the rows of claims, a bounded number at a time and the customers in turn.
+/// Reads the rows of claims with a limited number of reads in flight, and serves the customers
+/// round-robin.
 ///
-/// Answers the load pattern of one customer that repeats its calls in a flood: each repeat needs
-/// a read. Without the bound they fill this router's share of the table's reads, and the
-/// configuration is read no more; without the turns the claims of others wait behind them.
+/// This contains a customer that floods the router with repeats of its calls, each of which needs
+/// a read. Without the limit these reads would use up this router's share of the table's reads,
+/// and the configuration could no longer be read. Without the round-robin order the claims of
+/// other customers would wait behind them.
 class RowReader
 {
 public:
     RowReader(std::size_t largestInFlight, Storage::TableService &table,
               Storage::OperationIds &operations);
 
+    /// Queues a read of the row at \a key.
     void read(ClaimId claim, const Base::CustomerId &customer, const std::string &key);
-    /// The claim whose read \a outcome answers.
+    /// Returns the claim whose read \a outcome answers; empty if it answers no read of this object.
     std::optional<ClaimId> handle(const Storage::TableOutcome &outcome);
 
 private:
@@ -41,7 +44,7 @@
     Storage::TableService *m_table;
     Storage::OperationIds *m_operations;
     std::map<Base::CustomerId, std::deque<PendingRead>> m_waiting;
-    /// Whose turn was last.
+    /// The customer that was served last.
     Base::CustomerId m_lastCustomer;
     std::map<Storage::OperationId, ClaimId> m_inFlight;
 };
