--- a/src/libs/claims/claimsweeper.cpp
+++ b/src/libs/claims/claimsweeper.cpp
@@ -44,7 +44,7 @@
         return false;
     m_scan.reset();
     if (outcome.status != Storage::TableStatus::Done)
-        return true; // The same step again.
+        return true; // The step is repeated.
     sweep(outcome.rows);
     endStep(outcome.rows, now);
     return true;
