--- a/tests/auto/claims/claimfleet.h
+++ b/tests/auto/claims/claimfleet.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-/// Several routers with one table and one backend server, under a virtual clock.
+/// Several routers that share one table and one backend server, under a virtual clock.
 namespace ClaimFleet {
 
 using namespace std::chrono_literals;
@@ -30,7 +30,8 @@
     Claims::ClaimSubject subject;
 };
 
-/// One router: its book, its gateway, and an entry that sends, completes, releases, abandons.
+/// One router with its claim registry and its table gateway. It sends the work that it has
+/// claimed, and completes, releases or abandons the claims.
 class Router
 {
 public:
@@ -54,7 +55,7 @@
         return request;
     }
 
-    /// The clocks of the routers differ by \a skew.
+    /// Returns the calendar time of this router, which differs from the virtual clock by \a skew.
     Base::WallTime wall(Base::TimePoint now) const
     {
         return Base::WallTime(std::chrono::hours(500000))
@@ -92,13 +93,13 @@
     Base::Duration skew{};
     Base::TimePoint frozenUntil{};
     bool isCrashed = false;
-    /// Length of the freezes between the check and the sending.
+    /// Length of the freezes between the maySend() check and the sending.
     Base::Duration freezeBeforeSend{};
-    /// Longest wait for a permit, and longest run.
+    /// Longest wait for a permit, and longest run of the work.
     Base::Duration longestWait = 2s;
-    /// Calls done that are not the book's.
+    /// Number of completed table calls that are not the registry's.
     std::size_t otherCallsDone = 0;
-    /// Keys whose claim was left standing on purpose.
+    /// Keys whose claims were abandoned on purpose.
     std::vector<std::string> abandoned;
 
 private:
@@ -151,7 +152,7 @@
             registry.release(request, now);
             return true;
         }
-        // The bytes leave a step after the check, and some routers freeze just between.
+        // The work is sent one step after the check, and some routers freeze in between.
         if (!std::exchange(work.isChecked, true)) {
             if (random.next() % 8 == 0)
                 frozenUntil = now + freezeBeforeSend;
@@ -166,7 +167,8 @@
     void end(const Base::RequestKey &request, const Work &work, Base::TimePoint now)
     {
         if (!work.hasRun) {
-            registry.release(request, now); // The server said that it did not run.
+            // The backend server reported that the work did not run.
+            registry.release(request, now);
         } else if (random.next() % 4 == 0) {
             abandoned.push_back(work.subject.key);
             registry.abandon(request);
@@ -214,7 +216,7 @@
         return found;
     }
 
-    /// Claims \a key at router \a i and waits for what it is told.
+    /// Claims \a key at router \a i and returns the outcome.
     Claims::ClaimOutcome ask(std::size_t i, const std::string &key, std::uint64_t hash = 1)
     {
         const Base::RequestKey request = router(i).claim(key, hash, now);
