--- a/tests/auto/claims/tst_claimbook.cpp
+++ b/tests/auto/claims/tst_claimbook.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Random faults of the network and the routers; one or two at a time.
+/// Gives each router random faults: of its connection to the table, a freeze, or a crash.
 void injectFaults(Fleet &fleet)
 {
     Base::SeededRandom &random = fleet.random;
@@ -32,7 +32,7 @@
     }
 }
 
-/// Leases that lapse often in the span of a test.
+/// Returns a policy whose leases often expire within a test.
 ClaimPolicy shortLease()
 {
     ClaimPolicy policy;
@@ -40,6 +40,7 @@
     return policy;
 }
 
+/// Makes claims with few keys at random routers under random faults, then lets all claims settle.
 void runRandomLoad(Fleet &fleet, std::size_t requests)
 {
     for (std::size_t i = 0; i < requests; ++i) {
@@ -47,7 +48,7 @@
             injectFaults(fleet);
         const std::string key = "k" + std::to_string(fleet.random.next() % 6);
         const std::uint64_t hash = fleet.random.next() % 5 == 0 ? 2 : 1;
-        // Duplicates reach two routers at once.
+        // Half of the calls are repeated at once, usually at another router.
         for (std::size_t n = 1 + fleet.random.next() % 2; n > 0; --n) {
             Router &router = fleet.router(fleet.random.next() % fleet.routers.size());
             if (!router.isCrashed && router.frozenUntil <= fleet.now)
@@ -67,12 +68,12 @@
 
 } // namespace
 
-// A deposit hold is made twice, or a buyer is told that it was not made and it was.
-// Duplicates reach several routers; the table loses, delays and doubles; routers freeze past
-// their leases and crash at any point. The cause would be a second owner of one key.
-TEST_CASE("each key runs at most once, and no verdict lies")
+// Guards against work that runs twice, and against callers that are told that their work did not
+// run although it did. This would happen if a key had two owners. Duplicates reach several routers;
+// calls of the table are lost, delayed and doubled; routers freeze past their leases and crash.
+TEST_CASE("each key runs at most once, and every verdict is true")
 {
-    rc::prop("alone and together", [](std::uint64_t seed) {
+    rc::prop("under single and combined faults", [](std::uint64_t seed) {
         Fleet fleet(seed, 3, shortLease());
         for (const auto &it : fleet.routers) {
             it->skew = std::chrono::milliseconds(fleet.random.next() % 3000);
@@ -101,8 +102,9 @@
     });
 }
 
-// A caller's claim is refused while the table is slow; for a day after, every try with its key
-// is told that it may have run. The cause would be a row whose writer has forgotten it.
+// Guards against a key that stays taken until the end of its retention although its work was never
+// sent. This would happen if a claim that timed out on a slow table later created a row that its
+// writer no longer releases.
 TEST_CASE("a key that never ran is free again once the table is back")
 {
     rc::prop("unless its owner crashed", [](std::uint64_t seed) {
@@ -123,17 +125,19 @@
     });
 }
 
-// A router dies in an outage. The breaker opens, closes and opens again while the gateway's own
-// read is under way; the second such read had the first one's id, and its end was looked up twice.
-TEST_CASE("an outage that flaps kills no router")
+// Guards against a crash of a router during an outage of the table. The circuit breaker opens,
+// closes and opens again while a probe read of the gateway is in flight. The second probe had the
+// id of the first, so the completion of one id was looked up twice.
+TEST_CASE("an intermittent outage does not crash a router")
 {
     Fleet fleet(675505802189U, 3, shortLease());
     CHECK_NOTHROW(runRandomLoad(fleet, 25));
 }
 
-// A seller publishes a listing; the router freezes with the grant in its hands and wakes after
-// its lease. Others were told that nothing is known; a publication now would surprise them.
-TEST_CASE("a holder frozen past its lease does not send on waking")
+// Guards against work that is sent after its claim has expired. The router freezes with a granted
+// permit and resumes after the end of its lease, when other callers have already been told that
+// the work may or may not have run.
+TEST_CASE("a holder frozen past its lease does not send on resuming")
 {
     Fleet fleet(1);
     const Base::RequestKey request = fleet.router(0).claim("k", 1, fleet.now);
@@ -150,7 +154,7 @@
     CHECK(fleet.ask(1, "k").verdict == ClaimVerdict::Claimed);
 }
 
-TEST_CASE("a claim that waits long is renewed")
+TEST_CASE("a claim is renewed while its request waits")
 {
     Fleet fleet(1);
     fleet.router(0).longestWait = 400s;
@@ -161,7 +165,7 @@
     CHECK(fleet.ask(1, "k").verdict == ClaimVerdict::InProgress);
 }
 
-TEST_CASE("a repeat of a completed call gets its answer, or is told why not")
+TEST_CASE("a repeat of a completed call gets the stored answer or the reason for its absence")
 {
     ClaimPolicy policy;
     policy.largestAnswer = 10;
@@ -184,8 +188,8 @@
     }
 }
 
-// The table is down when a deposit is asked for: the caller learns it at once.
-TEST_CASE("with the table down a claim is unavailable at once")
+// While the table is down, a caller is refused without delay.
+TEST_CASE("a claim is unavailable at once while the table is down")
 {
     Fleet fleet(1);
     fleet.router(0).below.faults.refused = 100;
@@ -198,14 +202,14 @@
     CHECK(fleet.sentCalls.empty());
 }
 
-TEST_CASE("any bytes in a row give a typed outcome")
+TEST_CASE("arbitrary bytes in a row give a typed outcome")
 {
-    rc::prop("whatever they are", [](const std::string &bytes, std::uint64_t seed) {
+    rc::prop("random bytes and a damaged row", [](const std::string &bytes, std::uint64_t seed) {
         Fleet fleet(1);
         const std::string key = claimKey({Base::CustomerId("c"), "k", 1});
         fleet.table.rows[key] = {key, bytes, 7};
         RC_ASSERT(fleet.ask(0, "k").verdict == ClaimVerdict::Undecidable);
-        // A whole row with one byte changed.
+        // A valid row with one changed byte.
         std::string text = encodeClaim({});
         text[seed % text.size()] = static_cast<char>(seed >> 32);
         fleet.table.rows[key].value = text;
@@ -214,14 +218,14 @@
     });
 }
 
-TEST_CASE("subjects with alike names have different keys")
+TEST_CASE("subjects with similar names have different keys")
 {
     CHECK(claimKey({Base::CustomerId("a/b"), "c", 0})
           != claimKey({Base::CustomerId("a"), "b/c", 0}));
 }
 
-// The claims of a surge, with one key that many callers repeat, share the writes of the table.
-TEST_CASE("claims share writes, and one taken key costs few more")
+// The claims of a surge share the writes of the table, also if many of them repeat one key.
+TEST_CASE("claims share writes, and one taken key adds few calls")
 {
     struct Cost
     {
@@ -242,20 +246,20 @@
         CHECK(owned == claims - taken + 1);
         return Cost{router.below.writeCalls, router.below.readCalls};
     };
-    // One goes out alone at once, the rest in batches of 32.
+    // The first claim is sent alone at once, the others in batches of 32.
     CHECK(costOf(1, 0).writes == 1);
     CHECK(costOf(34, 0).writes == 1 + 2);
     CHECK(costOf(130, 0).writes == 1 + 5);
     CHECK(costOf(514, 0).writes == 1 + 17);
-    // One taken key: its batch is read, and what is free written again.
+    // With one taken key, the rows of its batch are read, and the free ones are written again.
     CHECK(costOf(34, 1).writes <= 1 + 2 + 1);
     CHECK(costOf(34, 1).reads <= 33);
     CHECK(costOf(130, 1).writes <= 1 + 5 + 1);
 }
 
-// In a large fleet a router may write every 1.4 s. A batch closed before its time would leave
-// the claims of those 1.4 s to the write after it.
-TEST_CASE("claims gather until the next write may leave")
+// In a large fleet a router may write only every 1.4 s. If a batch were closed before it can be
+// sent, the claims of those 1.4 s would have to wait for the next write.
+TEST_CASE("claims are gathered until the next write may be sent")
 {
     Fleet fleet(1, 1);
     Router &router = fleet.router(0);
@@ -274,9 +278,10 @@
     CHECK(fleet.verdicts.size() == 4 + 10);
 }
 
-// One customer's client repeats its calls in a loop; the deposits of the others are refused.
-// Each repeat spoils a batch, and its read keeps the others' reads waiting.
-TEST_CASE("a flood of repeats by one customer holds up no other")
+// Guards against one customer, whose client repeats its calls in a loop, causing the calls of other
+// customers to be refused. Each repeat could make a batch fail, and its read could delay the reads
+// of others.
+TEST_CASE("a flood of repeats by one customer does not delay other customers")
 {
     Fleet fleet(1, 2);
     fleet.router(1).longestWait = 1000s;
@@ -294,7 +299,7 @@
             router.claim("taken" + std::to_string((i * 20 + n) % 400), 1, fleet.now);
         if (i % 20 == 0)
             others.push_back(router.claim(std::to_string(i), 1, fleet.now, "other"));
-        if (i % 100 == 99) // The configuration's.
+        if (i % 100 == 99) // A read of the configuration.
             router.gateway->read(1'000'000 + ++foreignReads, "head");
         fleet.run(50ms);
         CHECK(router.registry.undecided() <= ClaimPolicy().largestUndecided + 5);
