--- a/tests/auto/claims/tst_claimslope.cpp
+++ b/tests/auto/claims/tst_claimslope.cpp
@@ -19,7 +19,7 @@
     std::size_t refused = 0;
 };
 
-/// One router of a fleet, with its share of the table's rate and of the fleet's claims.
+/// Simulates one router of a fleet with its share of the table's rate and of the fleet's claims.
 LoadResult measure(std::size_t routers, std::size_t fleetClaimsPerSecond)
 {
     constexpr int seconds = 120;
@@ -31,7 +31,7 @@
     LoadResult result;
     std::size_t seen = 0;
     for (int step = 0; step < seconds * 100; ++step) {
-        // Arrivals at random: a coin for each hundredth of a hundredth of a second.
+        // Arrivals are random, with one trial for each hundredth of a step of 10 ms.
         for (int i = 0; i < 100; ++i) {
             if (fleet.random.next() % (routers * 10000) < fleetClaimsPerSecond)
                 asked[router.claim("k" + std::to_string(asked.size()), 1, fleet.now)] = fleet.now;
@@ -56,7 +56,7 @@
 
 } // namespace
 
-// Not a check but a measurement: docs/design/claims.md has its figures.
+// This case measures and checks nothing. docs/design/claims.md lists its figures.
 TEST_CASE("rows in a write against claims a second", "[.slope]")
 {
     std::cout << "routers claims/s rows/write writes/s median/ms 95%/ms asked refused\n";
