--- a/tests/auto/claims/tst_claimsweeper.cpp
+++ b/tests/auto/claims/tst_claimsweeper.cpp
@@ -7,9 +7,9 @@
 using namespace Claims;
 using namespace ClaimFleet;
 
-// The table fills with the claims of years, or a deposit is made again since its claim was
-// swept too early. A claim changes between the sweeper's read and its deletion.
-TEST_CASE("the sweep deletes what is past its retention and nothing else")
+// Guards against a table that grows without limit, and against work that runs again because its
+// claim was deleted too early. A claim may change between the sweeper's read and its deletion.
+TEST_CASE("the sweeper deletes only rows whose retention has ended")
 {
     Fleet fleet(1, 1);
     Router &router = fleet.router(0);
@@ -17,7 +17,7 @@
     for (int i = 0; i < 1200; ++i) {
         ClaimRow row;
         row.state = ClaimState::Completed;
-        // Every third is past, the next within the margin for the clocks, the next kept.
+        // Of three rows, one has expired beyond the clock skew, one within it, and one not at all.
         const std::chrono::seconds ages[] = {61s, 59s, -1s};
         row.retainUntil = wall - ages[i % 3];
         const std::string key = claimPrefix + std::to_string(i);
@@ -49,7 +49,7 @@
     CHECK(sweeper.counts().unreadable == 1);
     CHECK(below.writeCalls == 3);
 
-    // Changed between the read and the deletion: the deletion fails, and the row stays.
+    // The row changes between the read and the deletion, so the deletion fails and the row stays.
     fleet.table.rows["claim/1"] = {"claim/1", encodeClaim({}), 5};
     below.faults.longestDelay = 0ms;
     ClaimSweeper second = *ClaimSweeper::create({}, below, ids);
