--- a/src/libs/wire/messageencoder.cpp
+++ b/src/libs/wire/messageencoder.cpp
@@ -45,9 +45,10 @@
 
 } // namespace
 
-MessageEncoder::MessageEncoder(Proto::Batch &batch, const BatchEnds &ends, Proto::Message &message)
+MessageEncoder::MessageEncoder(Proto::Batch &batch, const BatchEnds &endpoints,
+                               Proto::Message &message)
     : m_batch(&batch)
-    , m_ends(&ends)
+    , m_endpoints(&endpoints)
     , m_message(&message)
 {}
 
@@ -227,8 +228,8 @@
 {
     to.set_serial(from.request.serial);
     to.set_number(from.number);
-    const bool isSenders = from.request.entry == m_ends->sender
-                           && from.request.incarnation == m_ends->senderIncarnation;
+    const bool isSenders = from.request.entry == m_endpoints->sender
+                           && from.request.incarnation == m_endpoints->senderIncarnation;
     if (isSenders)
         return;
     if (isReceivers(from.request)) {
@@ -241,7 +242,7 @@
 
 bool MessageEncoder::isReceivers(const Base::RequestKey &request)
 {
-    if (request.entry != m_ends->receiver || request.incarnation == 0)
+    if (request.entry != m_endpoints->receiver || request.incarnation == 0)
         return false;
     // The receiver may have restarted since it sent the request. Its present start must not
     // stand in for the one that the attempt belongs to, so the batch names the start once.
--- a/src/libs/wire/messageencoder.h
+++ b/src/libs/wire/messageencoder.h
@@ -11,7 +11,7 @@
 class MessageEncoder
 {
 public:
-    MessageEncoder(lagoonmast::wire::Batch &batch, const BatchEnds &ends,
+    MessageEncoder(lagoonmast::wire::Batch &batch, const BatchEnds &endpoints,
                    lagoonmast::wire::Message &message);
 
     void operator()(const Coordination::Heartbeat &from);
@@ -38,7 +38,7 @@
     bool isReceivers(const Base::RequestKey &request);
 
     lagoonmast::wire::Batch *m_batch;
-    const BatchEnds *m_ends;
+    const BatchEnds *m_endpoints;
     lagoonmast::wire::Message *m_message;
 };
 
--- a/src/libs/wire/peercodec.cpp
+++ b/src/libs/wire/peercodec.cpp
@@ -7,20 +7,20 @@
 
 namespace Proto = lagoonmast::wire;
 
-void startBatch(Proto::Batch &batch, const BatchEnds &ends)
+void startBatch(Proto::Batch &batch, const BatchEnds &endpoints)
 {
     batch.Clear();
-    batch.set_sender(ends.sender.value());
-    batch.set_incarnation(ends.senderIncarnation);
+    batch.set_sender(endpoints.sender.value());
+    batch.set_incarnation(endpoints.senderIncarnation);
 }
 
-std::size_t appendMessage(Proto::Batch &batch, const BatchEnds &ends,
+std::size_t appendMessage(Proto::Batch &batch, const BatchEnds &endpoints,
                           const Node::PeerMessage &message)
 {
     /// Tag and length that a message costs in its batch, for any but the longest.
     constexpr std::size_t repeatedOverhead = 3;
     Proto::Message &added = *batch.add_messages();
-    std::visit(Internal::MessageEncoder(batch, ends, added), message);
+    std::visit(Internal::MessageEncoder(batch, endpoints, added), message);
     return added.ByteSizeLong() + repeatedOverhead;
 }
 
--- a/src/libs/wire/peercodec.h
+++ b/src/libs/wire/peercodec.h
@@ -45,13 +45,13 @@
     std::vector<Node::PeerMessage> messages;
 };
 
-/// Puts \a message at the end of \a batch, which is filled for \a ends only, and returns the
+/// Puts \a message at the end of \a batch, which is filled for \a endpoints only, and returns the
 /// bytes that it adds to the batch.
-std::size_t appendMessage(lagoonmast::wire::Batch &batch, const BatchEnds &ends,
+std::size_t appendMessage(lagoonmast::wire::Batch &batch, const BatchEnds &endpoints,
                           const Node::PeerMessage &message);
 
-/// Starts a batch between \a ends.
-void startBatch(lagoonmast::wire::Batch &batch, const BatchEnds &ends);
+/// Starts a batch between \a endpoints.
+void startBatch(lagoonmast::wire::Batch &batch, const BatchEnds &endpoints);
 
 /// Reads a batch that arrived at \a receiver. Fails with MalformedBatch; any content is safe.
 Base::Result<PeerBatch> decodeBatch(const lagoonmast::wire::Batch &batch,
--- a/tests/auto/wire/tst_peercodec.cpp
+++ b/tests/auto/wire/tst_peercodec.cpp
@@ -12,12 +12,12 @@
 using namespace Wire;
 namespace Proto = lagoonmast::wire;
 
-std::string serialized(const BatchEnds &ends, const std::vector<Node::PeerMessage> &messages)
+std::string serialized(const BatchEnds &endpoints, const std::vector<Node::PeerMessage> &messages)
 {
     Proto::Batch batch;
-    startBatch(batch, ends);
+    startBatch(batch, endpoints);
     for (const Node::PeerMessage &message : messages)
-        appendMessage(batch, ends, message);
+        appendMessage(batch, endpoints, message);
     return batch.SerializeAsString();
 }
 
@@ -51,15 +51,15 @@
 TEST_CASE("Any messages come out as they went in")
 {
     rc::prop("a batch is read as it was written", [] {
-        const BatchEnds ends{Arbitrary::host(), Arbitrary::incarnation(), Arbitrary::host()};
+        const BatchEnds endpoints{Arbitrary::host(), Arbitrary::incarnation(), Arbitrary::host()};
         std::vector<Node::PeerMessage> messages;
         const int n = *rc::gen::inRange(0, 6);
         for (int i = 0; i < n; ++i)
-            messages.push_back(Arbitrary::message(ends.sender, ends.senderIncarnation));
-        const Decoded decoded = decode(serialized(ends, messages), ends.receiver.value());
+            messages.push_back(Arbitrary::message(endpoints.sender, endpoints.senderIncarnation));
+        const Decoded decoded = decode(serialized(endpoints, messages), endpoints.receiver.value());
         RC_ASSERT(decoded.batch.has_value());
-        RC_ASSERT(decoded.batch->sender == ends.sender);
-        RC_ASSERT(decoded.batch->incarnation == ends.senderIncarnation);
+        RC_ASSERT(decoded.batch->sender == endpoints.sender);
+        RC_ASSERT(decoded.batch->incarnation == endpoints.senderIncarnation);
         RC_ASSERT(decoded.batch->messages == messages);
     });
 }
@@ -71,9 +71,9 @@
         RC_ASSERT(decoded.batch.has_value() != decoded.fault.has_value());
     });
     rc::prop("a real batch with damaged bytes", [] {
-        const BatchEnds ends{Arbitrary::host(), 1, Arbitrary::host()};
-        std::string bytes = serialized(
-            ends, {Arbitrary::message(ends.sender, 1), Arbitrary::message(ends.sender, 1)});
+        const BatchEnds endpoints{Arbitrary::host(), 1, Arbitrary::host()};
+        std::string bytes = serialized(endpoints, {Arbitrary::message(endpoints.sender, 1),
+                                                   Arbitrary::message(endpoints.sender, 1)});
         const int damages = *rc::gen::inRange(1, 4);
         for (int i = 0; i < damages; ++i) {
             const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
@@ -89,27 +89,27 @@
 // the home answers the old one. Cause: a grant that leaves out which start it is for.
 TEST_CASE("A grant for an earlier start of the receiver keeps that start")
 {
-    const BatchEnds ends{Base::HostId("r2"), 5, Base::HostId("r1")};
+    const BatchEnds endpoints{Base::HostId("r2"), 5, Base::HostId("r1")};
     const Node::PermitGrant old{attemptOf("r1", 100), Base::PoolId("model/a"), 0,
                                 Base::ServerId("m1")};
     const Node::PermitGrant present{attemptOf("r1", 200), Base::PoolId("model/a"), 0,
                                     Base::ServerId("m2")};
-    const Decoded decoded = decode(serialized(ends, {old, present}), "r1");
+    const Decoded decoded = decode(serialized(endpoints, {old, present}), "r1");
     REQUIRE(decoded.batch);
     CHECK(decoded.batch->messages == std::vector<Node::PeerMessage>{old, present});
 }
 
-TEST_CASE("What both ends know is left out")
+TEST_CASE("What both endpoints know is left out")
 {
-    const BatchEnds ends{Base::HostId("a-host-with-a-long-name"), 1796243984000000,
-                         Base::HostId("another-host-with-a-long-name")};
+    const BatchEnds endpoints{Base::HostId("a-host-with-a-long-name"), 1796243984000000,
+                              Base::HostId("another-host-with-a-long-name")};
     const auto bytesOf = [&](const std::string &entry, Base::Incarnation incarnation) {
         const Node::PermitCancel cancel{attemptOf(entry, incarnation), Base::PoolId("p"), 0};
-        return serialized(ends, {cancel, cancel}).size();
+        return serialized(endpoints, {cancel, cancel}).size();
     };
     const std::size_t foreign = bytesOf("a-third-host-with-a-long-name", 1796243984000000);
-    CHECK(bytesOf(ends.sender.value(), ends.senderIncarnation) + 70 < foreign);
-    CHECK(bytesOf(ends.receiver.value(), 1796243984000001) + 60 < foreign);
+    CHECK(bytesOf(endpoints.sender.value(), endpoints.senderIncarnation) + 70 < foreign);
+    CHECK(bytesOf(endpoints.receiver.value(), 1796243984000001) + 60 < foreign);
 }
 
 TEST_CASE("Each fault of a batch has its type")
