--- a/src/libs/wire/messageencoder.cpp
+++ b/src/libs/wire/messageencoder.cpp
@@ -21,14 +21,14 @@
     to.set_text(Settings::encodeChange(change));
 }
 
-void encodeStart(Proto::LedgerStart &to, const Coordination::LedgerStart &from)
+void encodeLedgerStart(Proto::LedgerStart &to, const Coordination::LedgerStart &from)
 {
     to.set_host(from.host.value());
     to.set_incarnation(from.incarnation);
     to.set_epoch(from.epoch);
 }
 
-void encodeEntry(Proto::LedgerEntry &to, const Coordination::LedgerEntry &from)
+void encodeLedgerEntry(Proto::LedgerEntry &to, const Coordination::LedgerEntry &from)
 {
     to.set_customer(from.customer.value());
     to.set_charged(from.charged);
@@ -174,14 +174,14 @@
     to.set_snapshot(from.isSnapshot);
     to.set_asking(from.isSnapshotRequest);
     for (const Coordination::LedgerEntry &entry : from.entries)
-        encodeEntry(*to.add_entries(), entry);
+        encodeLedgerEntry(*to.add_entries(), entry);
     for (const Coordination::FoldedStart &folded : from.folded) {
         Proto::FoldedStart &added = *to.add_folded();
-        encodeStart(*added.mutable_start(), folded.start);
+        encodeLedgerStart(*added.mutable_start(), folded.start);
         added.set_age_seconds(static_cast<std::uint64_t>(folded.age.count()));
     }
     for (const Coordination::LedgerStart &start : from.starts)
-        encodeStart(*to.add_starts(), start);
+        encodeLedgerStart(*to.add_starts(), start);
 }
 
 void MessageEncoder::operator()(const Node::ConfigurationPush &from)
@@ -228,11 +228,11 @@
 {
     to.set_serial(from.request.serial);
     to.set_number(from.number);
-    const bool isSenders = from.request.entry == m_endpoints->sender
-                           && from.request.incarnation == m_endpoints->senderIncarnation;
-    if (isSenders)
+    const bool belongsToSender = from.request.entry == m_endpoints->sender
+                                 && from.request.incarnation == m_endpoints->senderIncarnation;
+    if (belongsToSender)
         return;
-    if (isReceivers(from.request)) {
+    if (belongsToReceiver(from.request)) {
         to.set_receivers(true);
         return;
     }
@@ -240,7 +240,7 @@
     to.set_incarnation(from.request.incarnation);
 }
 
-bool MessageEncoder::isReceivers(const Base::RequestKey &request)
+bool MessageEncoder::belongsToReceiver(const Base::RequestKey &request)
 {
     if (request.entry != m_endpoints->receiver || request.incarnation == 0)
         return false;
--- a/src/libs/wire/messageencoder.h
+++ b/src/libs/wire/messageencoder.h
@@ -35,7 +35,7 @@
 private:
     void encodeAttempt(lagoonmast::wire::Attempt &to, const Node::AttemptId &from);
     void encodeRequest(lagoonmast::wire::PermitRequest &to, const Node::PermitRequest &from);
-    bool isReceivers(const Base::RequestKey &request);
+    bool belongsToReceiver(const Base::RequestKey &request);
 
     lagoonmast::wire::Batch *m_batch;
     const BatchEnds *m_endpoints;
