--- a/src/libs/wire/messagedecoder.cpp
+++ b/src/libs/wire/messagedecoder.cpp
@@ -15,25 +15,25 @@
 using Base::Result;
 using Node::PeerMessage;
 
-boost::leaf::error_id fault(BatchFault which)
+boost::leaf::error_id makeError(BatchFault which)
 {
     return boost::leaf::new_error(MalformedBatch{which});
 }
 
-Result<Milliseconds> duration(std::int64_t milliseconds)
+Result<Milliseconds> decodeDuration(std::int64_t milliseconds)
 {
     const std::int64_t limit = largestDuration.count();
     if (milliseconds > limit || milliseconds < -limit)
-        return fault(BatchFault::DurationTooLong);
+        return makeError(BatchFault::DurationTooLong);
     return Milliseconds(milliseconds);
 }
 
-Result<Milliseconds> duration(std::uint64_t milliseconds)
+Result<Milliseconds> decodeDuration(std::uint64_t milliseconds)
 {
-    return duration(static_cast<std::int64_t>(milliseconds));
+    return decodeDuration(static_cast<std::int64_t>(milliseconds));
 }
 
-Result<Settings::ConfigurationChange> change(const Proto::Change &from)
+Result<Settings::ConfigurationChange> decodeChange(const Proto::Change &from)
 {
     // The text's own error is replaced: whoever gets a batch learns one type of error.
     return boost::leaf::try_handle_some(
@@ -41,16 +41,16 @@
             return Settings::decodeChange(from.version(), from.text());
         },
         [](const Settings::MalformedChange &) -> Result<Settings::ConfigurationChange> {
-            return fault(BatchFault::MalformedChange);
+            return makeError(BatchFault::MalformedChange);
         });
 }
 
-Coordination::LedgerStart ledgerStart(const Proto::LedgerStart &from)
+Coordination::LedgerStart decodeLedgerStart(const Proto::LedgerStart &from)
 {
     return {Base::HostId(from.host()), from.incarnation(), from.epoch()};
 }
 
-Coordination::LedgerEntry ledgerEntry(const Proto::LedgerEntry &from)
+Coordination::LedgerEntry decodeLedgerEntry(const Proto::LedgerEntry &from)
 {
     Coordination::LedgerEntry to;
     to.customer = Base::CustomerId(from.customer());
@@ -79,8 +79,8 @@
     case Proto::Message::kHeartbeat:
         return decode(from.heartbeat());
     case Proto::Message::kPermitRequest: {
-        BOOST_LEAF_AUTO(wanted, request(from.permit_request()));
-        return PeerMessage(wanted);
+        BOOST_LEAF_AUTO(permitRequest, decodeRequest(from.permit_request()));
+        return PeerMessage(permitRequest);
     }
     case Proto::Message::kPermitGrant:
         return decode(from.permit_grant());
@@ -122,10 +122,10 @@
     case Proto::Message::BODY_NOT_SET:
         break;
     }
-    return fault(BatchFault::EmptyMessage);
+    return makeError(BatchFault::EmptyMessage);
 }
 
-Result<Node::AttemptId> MessageDecoder::attempt(const Proto::Attempt &from) const
+Result<Node::AttemptId> MessageDecoder::decodeAttempt(const Proto::Attempt &from) const
 {
     Node::AttemptId to;
     to.number = from.number();
@@ -145,20 +145,21 @@
     return to;
 }
 
-Result<Node::PermitRequest> MessageDecoder::request(const Proto::PermitRequest &from) const
+Result<Node::PermitRequest> MessageDecoder::decodeRequest(const Proto::PermitRequest &from) const
 {
     if (!from.has_attempt())
-        return fault(BatchFault::MissingAttempt);
+        return makeError(BatchFault::MissingAttempt);
     Node::PermitRequest to;
-    BOOST_LEAF_ASSIGN(to.attempt, attempt(from.attempt()));
+    BOOST_LEAF_ASSIGN(to.attempt, decodeAttempt(from.attempt()));
     to.pool = Base::PoolId(from.pool().name());
     to.shard = from.pool().shard();
     to.customer = Base::CustomerId(from.customer());
     to.workClass = Base::ClassId(from.work_class());
-    BOOST_LEAF_ASSIGN(to.waited, duration(from.waited_ms()));
-    BOOST_LEAF_ASSIGN(to.startWithin, duration(std::int64_t(from.start_within_ms())));
+    BOOST_LEAF_ASSIGN(to.waited, decodeDuration(from.waited_ms()));
+    BOOST_LEAF_ASSIGN(to.startWithin, decodeDuration(std::int64_t(from.start_within_ms())));
     if (from.has_deadline_within_ms()) {
-        BOOST_LEAF_ASSIGN(to.deadlineWithin, duration(std::int64_t(from.deadline_within_ms())));
+        BOOST_LEAF_ASSIGN(to.deadlineWithin,
+                          decodeDuration(std::int64_t(from.deadline_within_ms())));
     }
     to.expectedCost = from.expected_cost();
     to.prefix = from.prefix();
@@ -168,9 +169,9 @@
 Result<PeerMessage> MessageDecoder::decode(const Proto::PermitGrant &from) const
 {
     if (!from.has_attempt())
-        return fault(BatchFault::MissingAttempt);
+        return makeError(BatchFault::MissingAttempt);
     Node::PermitGrant to;
-    BOOST_LEAF_ASSIGN(to.attempt, attempt(from.attempt()));
+    BOOST_LEAF_ASSIGN(to.attempt, decodeAttempt(from.attempt()));
     to.pool = Base::PoolId(from.pool().name());
     to.shard = from.pool().shard();
     to.server = Base::ServerId(from.server());
@@ -180,22 +181,22 @@
 Result<PeerMessage> MessageDecoder::decode(const Proto::PermitRefusal &from) const
 {
     if (!from.has_attempt())
-        return fault(BatchFault::MissingAttempt);
+        return makeError(BatchFault::MissingAttempt);
     if (from.reason() > static_cast<std::uint32_t>(Scheduling::RefusalReason::NoServer))
-        return fault(BatchFault::UnknownEnumerator);
+        return makeError(BatchFault::UnknownEnumerator);
     Node::PermitRefusal to;
-    BOOST_LEAF_ASSIGN(to.attempt, attempt(from.attempt()));
+    BOOST_LEAF_ASSIGN(to.attempt, decodeAttempt(from.attempt()));
     to.reason = static_cast<Scheduling::RefusalReason>(from.reason());
-    BOOST_LEAF_ASSIGN(to.retryAfter, duration(from.retry_after_ms()));
+    BOOST_LEAF_ASSIGN(to.retryAfter, decodeDuration(from.retry_after_ms()));
     return PeerMessage(to);
 }
 
 Result<PeerMessage> MessageDecoder::decode(const Proto::PermitCancel &from) const
 {
     if (!from.has_attempt())
-        return fault(BatchFault::MissingAttempt);
+        return makeError(BatchFault::MissingAttempt);
     Node::PermitCancel to;
-    BOOST_LEAF_ASSIGN(to.attempt, attempt(from.attempt()));
+    BOOST_LEAF_ASSIGN(to.attempt, decodeAttempt(from.attempt()));
     to.pool = Base::PoolId(from.pool().name());
     to.shard = from.pool().shard();
     return PeerMessage(to);
@@ -204,19 +205,19 @@
 Result<PeerMessage> MessageDecoder::decode(const Proto::PermitRelease &from) const
 {
     if (!from.has_attempt())
-        return fault(BatchFault::MissingAttempt);
+        return makeError(BatchFault::MissingAttempt);
     if (from.outcome() > static_cast<std::uint32_t>(Scheduling::PermitOutcome::Failed))
-        return fault(BatchFault::UnknownEnumerator);
+        return makeError(BatchFault::UnknownEnumerator);
     Node::PermitRelease to;
-    BOOST_LEAF_ASSIGN(to.attempt, attempt(from.attempt()));
+    BOOST_LEAF_ASSIGN(to.attempt, decodeAttempt(from.attempt()));
     to.pool = Base::PoolId(from.pool().name());
     to.shard = from.pool().shard();
     to.server = Base::ServerId(from.server());
     to.outcome = static_cast<Scheduling::PermitOutcome>(from.outcome());
     if (from.has_first_token_ms()) {
-        BOOST_LEAF_ASSIGN(to.firstToken, duration(from.first_token_ms()));
+        BOOST_LEAF_ASSIGN(to.firstToken, decodeDuration(from.first_token_ms()));
     }
-    BOOST_LEAF_ASSIGN(to.whole, duration(from.whole_ms()));
+    BOOST_LEAF_ASSIGN(to.whole, decodeDuration(from.whole_ms()));
     to.units = from.units();
     return PeerMessage(to);
 }
@@ -224,9 +225,9 @@
 Result<PeerMessage> MessageDecoder::decode(const Proto::ServiceCharge &from) const
 {
     if (!from.has_attempt())
-        return fault(BatchFault::MissingAttempt);
+        return makeError(BatchFault::MissingAttempt);
     Node::ServiceCharge to;
-    BOOST_LEAF_ASSIGN(to.attempt, attempt(from.attempt()));
+    BOOST_LEAF_ASSIGN(to.attempt, decodeAttempt(from.attempt()));
     to.pool = Base::PoolId(from.pool().name());
     to.shard = from.pool().shard();
     to.units = from.units();
@@ -236,9 +237,9 @@
 Result<PeerMessage> MessageDecoder::decode(const Proto::PermitHeld &from) const
 {
     if (!from.has_attempt())
-        return fault(BatchFault::MissingAttempt);
+        return makeError(BatchFault::MissingAttempt);
     Node::PermitHeld to;
-    BOOST_LEAF_ASSIGN(to.attempt, attempt(from.attempt()));
+    BOOST_LEAF_ASSIGN(to.attempt, decodeAttempt(from.attempt()));
     to.pool = Base::PoolId(from.pool().name());
     to.shard = from.pool().shard();
     to.server = Base::ServerId(from.server());
@@ -251,9 +252,9 @@
 Result<PeerMessage> MessageDecoder::decode(const Proto::PermitQuery &from) const
 {
     Node::PermitQuery to;
-    for (const Proto::Attempt &asked : from.attempts()) {
-        BOOST_LEAF_AUTO(named, attempt(asked));
-        to.attempts.push_back(named);
+    for (const Proto::Attempt &it : from.attempts()) {
+        BOOST_LEAF_AUTO(attemptId, decodeAttempt(it));
+        to.attempts.push_back(attemptId);
     }
     to.pool = Base::PoolId(from.pool().name());
     to.shard = from.pool().shard();
@@ -267,9 +268,9 @@
     to.shard = from.pool().shard();
     to.number = from.number();
     to.isMatch = from.match();
-    for (const Proto::Attempt &waiting : from.attempts()) {
-        BOOST_LEAF_AUTO(named, attempt(waiting));
-        to.attempts.push_back(named);
+    for (const Proto::Attempt &it : from.attempts()) {
+        BOOST_LEAF_AUTO(attemptId, decodeAttempt(it));
+        to.attempts.push_back(attemptId);
     }
     return PeerMessage(to);
 }
@@ -281,9 +282,9 @@
     to.shard = from.pool().shard();
     to.from = from.from();
     to.isAnswer = from.answer();
-    for (const Proto::PermitRequest &handed : from.requests()) {
-        BOOST_LEAF_AUTO(wanted, request(handed));
-        to.requests.push_back(wanted);
+    for (const Proto::PermitRequest &it : from.requests()) {
+        BOOST_LEAF_AUTO(permitRequest, decodeRequest(it));
+        to.requests.push_back(permitRequest);
     }
     return PeerMessage(to);
 }
@@ -298,7 +299,7 @@
         from.leaving() ? Coordination::MemberState::Leaving : Coordination::MemberState::Live;
     to.configurationVersion = from.configuration_version();
     to.isFull = from.full();
-    BOOST_LEAF_ASSIGN(to.interval, duration(from.interval_ms()));
+    BOOST_LEAF_ASSIGN(to.interval, decodeDuration(from.interval_ms()));
     to.zone = Base::ZoneId(from.zone());
     to.peerAddress = from.peer_address();
     to.callerAddress = from.caller_address();
@@ -322,15 +323,15 @@
     to.isSnapshot = from.snapshot();
     to.isSnapshotRequest = from.asking();
     for (const Proto::LedgerEntry &entry : from.entries())
-        to.entries.push_back(ledgerEntry(entry));
+        to.entries.push_back(decodeLedgerEntry(entry));
     for (const Proto::FoldedStart &folded : from.folded()) {
         if (folded.age_seconds() > static_cast<std::uint64_t>(largestFoldedAge.count()))
-            return fault(BatchFault::DurationTooLong);
+            return makeError(BatchFault::DurationTooLong);
         to.folded.push_back(
-            {ledgerStart(folded.start()), std::chrono::seconds(folded.age_seconds())});
+            {decodeLedgerStart(folded.start()), std::chrono::seconds(folded.age_seconds())});
     }
     for (const Proto::LedgerStart &start : from.starts())
-        to.starts.push_back(ledgerStart(start));
+        to.starts.push_back(decodeLedgerStart(start));
     return PeerMessage(to);
 }
 
@@ -338,7 +339,7 @@
 {
     Node::ConfigurationPush to;
     for (const Proto::Change &it : from.changes()) {
-        BOOST_LEAF_AUTO(decoded, change(it));
+        BOOST_LEAF_AUTO(decoded, decodeChange(it));
         to.changes.push_back(decoded);
     }
     return PeerMessage(to);
@@ -349,13 +350,13 @@
     Node::ConfigurationSnapshot to;
     to.configuration.setVersion(from.version());
     for (const Proto::Change &it : from.entries()) {
-        BOOST_LEAF_AUTO(decoded, change(it));
+        BOOST_LEAF_AUTO(decoded, decodeChange(it));
         if (const auto *target = std::get_if<Settings::ClassTarget>(&decoded.what))
             to.configuration.insert(Settings::VersionedTarget{*target, decoded.version});
         else if (const auto *customer = std::get_if<Settings::Customer>(&decoded.what))
             to.configuration.insert(*customer);
         else
-            return fault(BatchFault::MalformedChange);
+            return makeError(BatchFault::MalformedChange);
     }
     return PeerMessage(to);
 }
--- a/src/libs/wire/messagedecoder.h
+++ b/src/libs/wire/messagedecoder.h
@@ -18,8 +18,9 @@
     Base::Result<Node::PeerMessage> decode(const lagoonmast::wire::Message &from) const;
 
 private:
-    Base::Result<Node::AttemptId> attempt(const lagoonmast::wire::Attempt &from) const;
-    Base::Result<Node::PermitRequest> request(const lagoonmast::wire::PermitRequest &from) const;
+    Base::Result<Node::AttemptId> decodeAttempt(const lagoonmast::wire::Attempt &from) const;
+    Base::Result<Node::PermitRequest>
+    decodeRequest(const lagoonmast::wire::PermitRequest &from) const;
     Base::Result<Node::PeerMessage> decode(const lagoonmast::wire::PermitGrant &from) const;
     Base::Result<Node::PeerMessage> decode(const lagoonmast::wire::PermitRefusal &from) const;
     Base::Result<Node::PeerMessage> decode(const lagoonmast::wire::PermitCancel &from) const;
