--- a/src/libs/wire/messagedecoder.cpp
+++ b/src/libs/wire/messagedecoder.cpp
@@ -35,7 +35,7 @@
 
 Result<Settings::ConfigurationChange> decodeChange(const Proto::Change &from)
 {
-    // The text's own error is replaced: whoever gets a batch learns one type of error.
+    // The error of the text is replaced, so that decoding a batch has a single type of error.
     return boost::leaf::try_handle_some(
         [&]() -> Result<Settings::ConfigurationChange> {
             return Settings::decodeChange(from.version(), from.text());
--- a/src/libs/wire/messagedecoder.h
+++ b/src/libs/wire/messagedecoder.h
@@ -8,13 +8,14 @@
 
 namespace Wire::Internal {
 
-/// Reads the messages of one batch.
+/// Converts the messages of one protobuf batch to node messages. Sender and receiver stand in for
+/// the names that the batch leaves out.
 class MessageDecoder
 {
 public:
     MessageDecoder(const lagoonmast::wire::Batch &batch, const Base::HostId &receiver);
 
-    /// Fails with MalformedBatch.
+    /// Returns the node message for \a from. Fails with MalformedBatch.
     Base::Result<Node::PeerMessage> decode(const lagoonmast::wire::Message &from) const;
 
 private:
