--- a/src/libs/wire/messageencoder.cpp
+++ b/src/libs/wire/messageencoder.cpp
@@ -244,8 +244,8 @@
 {
     if (request.entry != m_endpoints->receiver || request.incarnation == 0)
         return false;
-    // The receiver may have restarted since it sent the request. Its present start must not
-    // stand in for the one that the attempt belongs to, so the batch names the start once.
+    // The receiver may have restarted since it sent the request. Its current incarnation must not
+    // replace the one that the attempt belongs to, so the batch names the incarnation once.
     if (m_batch->receiver_incarnation() == 0)
         m_batch->set_receiver_incarnation(request.incarnation);
     return m_batch->receiver_incarnation() == request.incarnation;
--- a/src/libs/wire/messageencoder.h
+++ b/src/libs/wire/messageencoder.h
@@ -7,7 +7,7 @@
 
 namespace Wire::Internal {
 
-/// Fills one protobuf message from one node message; a visitor of Node::PeerMessage.
+/// Fills one protobuf message from a node message. Visits Node::PeerMessage.
 class MessageEncoder
 {
 public:
@@ -35,6 +35,8 @@
 private:
     void encodeAttempt(lagoonmast::wire::Attempt &to, const Node::AttemptId &from);
     void encodeRequest(lagoonmast::wire::PermitRequest &to, const Node::PermitRequest &from);
+    /// Returns whether \a request belongs to the receiver at the incarnation that the batch names.
+    /// Names that incarnation in the batch if it names none yet.
     bool belongsToReceiver(const Base::RequestKey &request);
 
     lagoonmast::wire::Batch *m_batch;
