--- a/src/libs/wire/peercodec.cpp
+++ b/src/libs/wire/peercodec.cpp
@@ -17,7 +17,8 @@
 std::size_t appendMessage(Proto::Batch &batch, const BatchEnds &endpoints,
                           const Node::PeerMessage &message)
 {
-    /// Tag and length that a message costs in its batch, for any but the longest.
+    /// Bytes for the tag and the length of a message in its batch. Messages of 16 KiB or more need
+    /// more.
     constexpr std::size_t repeatedOverhead = 3;
     Proto::Message &added = *batch.add_messages();
     std::visit(Internal::MessageEncoder(batch, endpoints, added), message);
--- a/src/libs/wire/peercodec.h
+++ b/src/libs/wire/peercodec.h
@@ -12,15 +12,15 @@
 
 namespace Wire {
 
-/// Why a batch from another router cannot be taken.
+/// Reasons to reject a batch from another router.
 enum class BatchFault {
     NotProtobuf,       ///< The bytes are not a batch.
-    MissingSender,     ///< No sender is named.
-    EmptyMessage,      ///< A message without content, or of a kind unknown here.
-    MissingAttempt,    ///< A message that needs an attempt has none.
-    UnknownEnumerator, ///< A reason or outcome out of range.
-    DurationTooLong,   ///< A duration beyond largestDuration.
-    MalformedChange,   ///< A configuration change whose text cannot be read.
+    MissingSender,     ///< The batch names no sender.
+    EmptyMessage,      ///< A message has no content or is of an unknown kind.
+    MissingAttempt,    ///< A message lacks its attempt.
+    UnknownEnumerator, ///< A reason or an outcome is out of range.
+    DurationTooLong,   ///< A duration exceeds largestDuration, or an age largestFoldedAge.
+    MalformedChange,   ///< A change cannot be parsed, or a snapshot holds a removal.
 };
 
 /// Error of decodeBatch().
@@ -29,7 +29,8 @@
     BatchFault fault = BatchFault::NotProtobuf;
 };
 
-/// Both ends of a batch. Attempts and counters that belong to one of them leave its name out.
+/// The sender and the receiver of a batch. Attempts and counters that belong to one of them leave
+/// its name out.
 struct BatchEnds
 {
     Base::HostId sender;
@@ -37,7 +38,7 @@
     Base::HostId receiver;
 };
 
-/// Messages of one router for another, in order.
+/// A decoded batch: the messages of one router for another, in order.
 struct PeerBatch
 {
     Base::HostId sender;
@@ -45,18 +46,19 @@
     std::vector<Node::PeerMessage> messages;
 };
 
-/// Puts \a message at the end of \a batch, which is filled for \a endpoints only, and returns the
-/// bytes that it adds to the batch.
+/// Appends \a message to \a batch and returns the bytes that it adds to the batch. All messages of
+/// a batch must be appended with the same \a endpoints.
 std::size_t appendMessage(lagoonmast::wire::Batch &batch, const BatchEnds &endpoints,
                           const Node::PeerMessage &message);
 
-/// Starts a batch between \a endpoints.
+/// Clears \a batch and sets its sender from \a endpoints.
 void startBatch(lagoonmast::wire::Batch &batch, const BatchEnds &endpoints);
 
-/// Reads a batch that arrived at \a receiver. Fails with MalformedBatch; any content is safe.
+/// Decodes a batch that arrived at \a receiver. Fails with MalformedBatch; \a batch may hold
+/// arbitrary content.
 Base::Result<PeerBatch> decodeBatch(const lagoonmast::wire::Batch &batch,
                                     const Base::HostId &receiver);
-/// As above, from serialized bytes.
+/// Parses and decodes a serialized batch. Fails with MalformedBatch; \a bytes may be arbitrary.
 Base::Result<PeerBatch> decodeBatch(const std::string &bytes, const Base::HostId &receiver);
 
 } // namespace Wire
