--- a/src/libs/wire/wireconstants.h
+++ b/src/libs/wire/wireconstants.h
@@ -4,11 +4,12 @@
 
 namespace Wire {
 
-/// Longest duration taken from a peer, either way of zero. Larger ones would overflow when
+/// Largest magnitude of a duration that is accepted from a peer. Larger ones could overflow when
 /// added to a time.
 inline constexpr Base::Milliseconds largestDuration = std::chrono::hours(24 * 366);
 
-/// Longest age of a folded start taken from a peer; older ones are long forgotten.
+/// Largest age of a folded ledger start that is accepted from a peer. Routers forget folded starts
+/// long before they reach it.
 inline constexpr std::chrono::seconds largestFoldedAge = std::chrono::hours(24 * 366);
 
 } // namespace Wire
