--- a/tests/auto/wire/arbitrarymessages.h
+++ b/tests/auto/wire/arbitrarymessages.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-/// Arbitrary messages between routers, as far as the node can make them.
+/// Generators of arbitrary messages between routers, within the ranges that a node produces.
 namespace Arbitrary {
 
 inline std::string name()
@@ -41,7 +41,8 @@
     return *rc::gen::arbitrary<Number>();
 }
 
-/// Few hosts and starts, so that attempts of the sender and of the receiver are common.
+/// Returns one of few hosts. Hosts and incarnations are few, so that attempts of the sender and of
+/// the receiver are common.
 inline Base::HostId host()
 {
     return Base::HostId(*rc::gen::element<std::string>("r1", "r2", "r3"));
@@ -208,7 +209,7 @@
     const int entries = *rc::gen::inRange(0, 4);
     for (int i = 0; i < entries; ++i) {
         it.configuration.insert(Settings::VersionedTarget{target(), number<std::uint64_t>()});
-        // Digests name customers, so each needs its own.
+        // The key digest identifies a customer, so each customer needs a different one.
         Settings::Customer added = customer();
         added.keyDigest += added.id.value();
         it.configuration.insert(added);
@@ -227,7 +228,7 @@
     return it;
 }
 
-/// Any message that \a sender can send.
+/// Returns an arbitrary message that \a sender can send.
 inline Node::PeerMessage message(const Base::HostId &sender, Base::Incarnation start)
 {
     const auto pool = id<Base::PoolId>();
