--- a/tests/auto/wire/tst_peercodec.cpp
+++ b/tests/auto/wire/tst_peercodec.cpp
@@ -21,7 +21,8 @@
     return batch.SerializeAsString();
 }
 
-/// What decoding comes to: a batch, or a typed fault. Any other error fails the test.
+/// The result of decoding: a batch or a typed fault. Any other error leaves both empty, which fails
+/// the test.
 struct Decoded
 {
     std::optional<PeerBatch> batch;
@@ -48,9 +49,9 @@
 
 } // namespace
 
-TEST_CASE("Any messages come out as they went in")
+TEST_CASE("Decoding restores the encoded messages")
 {
-    rc::prop("a batch is read as it was written", [] {
+    rc::prop("arbitrary messages of one batch", [] {
         const BatchEnds endpoints{Arbitrary::host(), Arbitrary::incarnation(), Arbitrary::host()};
         std::vector<Node::PeerMessage> messages;
         const int n = *rc::gen::inRange(0, 6);
@@ -64,13 +65,13 @@
     });
 }
 
-TEST_CASE("Any bytes are a batch or a typed fault")
+TEST_CASE("Arbitrary bytes decode to a batch or a typed fault")
 {
     rc::prop("arbitrary bytes", [](const std::string &bytes) {
         const Decoded decoded = decode(bytes, "r1");
         RC_ASSERT(decoded.batch.has_value() != decoded.fault.has_value());
     });
-    rc::prop("a real batch with damaged bytes", [] {
+    rc::prop("a valid batch with damaged bytes", [] {
         const BatchEnds endpoints{Arbitrary::host(), 1, Arbitrary::host()};
         std::string bytes = serialized(endpoints, {Arbitrary::message(endpoints.sender, 1),
                                                    Arbitrary::message(endpoints.sender, 1)});
@@ -84,10 +85,10 @@
     });
 }
 
-// What a user would see: a request of the restarted router gets the grant of another one, and
-// runs twice. Order: r1 asks for request 7 and restarts, its new start has a request 7 too,
-// the home answers the old one. Cause: a grant that leaves out which start it is for.
-TEST_CASE("A grant for an earlier start of the receiver keeps that start")
+// Guards against a request that gets the permit of another one, and so runs twice. Router r1 asks
+// for a permit for request 7 and restarts. Its new incarnation also has a request 7 when the home
+// answers the old one. A grant that leaves out the incarnation would match the new request.
+TEST_CASE("A grant for an earlier incarnation of the receiver keeps that incarnation")
 {
     const BatchEnds endpoints{Base::HostId("r2"), 5, Base::HostId("r1")};
     const Node::PermitGrant old{attemptOf("r1", 100), Base::PoolId("model/a"), 0,
@@ -99,7 +100,7 @@
     CHECK(decoded.batch->messages == std::vector<Node::PeerMessage>{old, present});
 }
 
-TEST_CASE("What both endpoints know is left out")
+TEST_CASE("Names of the sender and the receiver are left out")
 {
     const BatchEnds endpoints{Base::HostId("a-host-with-a-long-name"), 1796243984000000,
                               Base::HostId("another-host-with-a-long-name")};
@@ -107,12 +108,13 @@
         const Node::PermitCancel cancel{attemptOf(entry, incarnation), Base::PoolId("p"), 0};
         return serialized(endpoints, {cancel, cancel}).size();
     };
+    // Each of the two attempts saves the name and the incarnation of its host.
     const std::size_t foreign = bytesOf("a-third-host-with-a-long-name", 1796243984000000);
     CHECK(bytesOf(endpoints.sender.value(), endpoints.senderIncarnation) + 70 < foreign);
     CHECK(bytesOf(endpoints.receiver.value(), 1796243984000001) + 60 < foreign);
 }
 
-TEST_CASE("Each fault of a batch has its type")
+TEST_CASE("Each fault of a batch is reported with its type")
 {
     Proto::Batch batch;
     const auto fault = [&batch] { return decode(batch.SerializeAsString(), "r1").fault; };
