--- a/src/libs/claims/claimrows.h
+++ b/src/libs/claims/claimrows.h
@@ -61,17 +61,22 @@
     Base::TimePoint nextDue() const;
     /// Returns whether \a outcome belongs to a call of this object.
     bool handle(const Storage::TableOutcome &outcome, Base::TimePoint now);
+    /// Returns and clears the decisions since the last call.
     std::vector<ClaimDecision> takeDecisions() { return std::exchange(m_decisions, {}); }
+    /// Returns the number of claims that are undecided, held or not yet settled.
     std::size_t size() const { return m_claims.size(); }
 
 private:
     OpenClaim *find(ClaimId id);
+    /// Sets the goal of a claim whose request has ended, and starts the first call for it.
     void setFinalGoal(ClaimId id, OpenClaim &claim, ClaimGoal goal, Base::TimePoint now);
     void timerDue(ClaimId id, OpenClaim &claim, Base::TimePoint now);
 
     void write(ClaimId id, OpenClaim &claim, Base::TimePoint now);
     void read(ClaimId id, OpenClaim &claim);
+    /// Schedules the next read or write after a pause with backoff and jitter.
     void pause(ClaimId id, OpenClaim &claim, bool isReadDue, Base::TimePoint now);
+    /// Returns whether a claim of \a customer recently found its key taken.
     bool isRepeating(const Base::CustomerId &customer, Base::TimePoint now);
     void setTimer(ClaimId id, OpenClaim &claim, Base::TimePoint at);
 
@@ -89,8 +94,11 @@
     void handleForeignRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
                           Base::TimePoint now);
 
+    /// Records that the table confirmed the row as this process's own.
     void setOwned(ClaimId id, OpenClaim &claim, Base::TimePoint now);
+    /// Writes the row again, or gives up an undecided claim after too many attempts.
     void retryWrite(ClaimId id, OpenClaim &claim, Base::TimePoint now);
+    /// Decides an undecided claim as Unavailable, and releases its row if there may be one.
     void giveUp(ClaimId id, OpenClaim &claim, Base::TimePoint now);
     void addDecision(ClaimId id, const OpenClaim &claim, ClaimVerdict verdict,
                      const std::string &answer = {});
@@ -106,7 +114,8 @@
     /// Customers whose keys were found taken, with the time until which their claims are read
     /// before they are written.
     std::map<Base::CustomerId, Base::TimePoint> m_repeatingCustomers;
-    /// Timers of the claims. Only the entry at OpenClaim::timerAt is valid; the others are stale.
+    /// Timers of the claims. Entries other than the one at OpenClaim::timerAt are stale; they only
+    /// serve to detect that an undecided claim has reached its decision timeout.
     std::multimap<Base::TimePoint, ClaimId> m_timers;
     std::vector<ClaimDecision> m_decisions;
 };
