--- a/src/libs/claims/rowwriter.cpp
+++ b/src/libs/claims/rowwriter.cpp
@@ -82,8 +82,8 @@
         if (version != versions.end())
             result.version = version->second;
         else if (outcome.status == TableStatus::Done)
-            result.status = TableStatus::Unknown; // The answer lacks the row's version, so the row
-                                                  // must be read.
+            // The answer lacks the row's version, so the row must be read.
+            result.status = TableStatus::Unknown;
         m_results.push_back(result);
     }
 }
