--- a/src/libs/claims/claimpolicy.h
+++ b/src/libs/claims/claimpolicy.h
@@ -12,7 +12,7 @@
 enum class ClaimVerdict {
     Claimed,           ///< This request owns the key, and its work may be sent.
     Completed,         ///< The work ran before; its stored answer is returned.
-    CompletedUnstored, ///< The work ran before; its answer was too large or no UTF-8.
+    CompletedUnstored, ///< The work ran before; its answer is too large or not UTF-8.
     InProgress,        ///< Another request owns the key, and its work may be running.
     Conflict,          ///< The key was used for different content.
     Undecidable,       ///< The work may have run, but its owner is gone: "ran: unknown".
