--- a/src/libs/claims/claimrow.cpp
+++ b/src/libs/claims/claimrow.cpp
@@ -11,8 +11,8 @@
 using Json = nlohmann::json;
 using Milliseconds = std::chrono::milliseconds;
 
-/// The year 2200; above it, nanoseconds since 1970 pass 63 bits before long.
-constexpr std::uint64_t latestMilliseconds = 7'258'118'400'000ULL;
+/// Latest accepted time, the year 2200. From 2262 on, nanoseconds since 1970 overflow 63 bits.
+constexpr std::uint64_t latestTimeMs = 7'258'118'400'000ULL;
 
 constexpr const char *claimedName = "claimed";
 constexpr const char *completedName = "completed";
@@ -66,7 +66,7 @@
 std::optional<Base::WallTime> time(const Json &json, const char *name)
 {
     const std::optional<std::uint64_t> value = number(json, name);
-    if (!value || *value > latestMilliseconds)
+    if (!value || *value > latestTimeMs)
         return std::nullopt;
     return Base::WallTime(Milliseconds(static_cast<std::int64_t>(*value)));
 }
@@ -90,7 +90,7 @@
 
 std::string claimKey(const ClaimSubject &subject)
 {
-    // With the length in front, no slash in a name can make two subjects alike.
+    // The length prefix keeps subjects distinct even if their names contain slashes.
     const std::string &customer = subject.customer.value();
     return claimPrefix + std::to_string(customer.size()) + ':' + customer + '/' + subject.key;
 }
@@ -101,7 +101,8 @@
     try {
         return json.dump();
     } catch (const Json::type_error &) {
-        // Not UTF-8. An answer that would be changed by storing it must not be replayed.
+        // The answer is not valid UTF-8. Storing it would change it, and a changed answer must not
+        // be replayed.
         json.erase("answer");
         return json.dump(-1, ' ', false, Json::error_handler_t::replace);
     }
@@ -120,9 +121,9 @@
     const auto fence = number(json, "fence");
     const auto leaseUntil = time(json, "leaseUntil");
     const auto retainUntil = time(json, "retainUntil");
-    const bool isWhole =
+    const bool isComplete =
         state && token && owner && incarnation && hash && fence && leaseUntil && retainUntil;
-    if (!isWhole)
+    if (!isComplete)
         return boost::leaf::new_error(MalformedClaimRow{});
     const auto answer = text(json, "answer");
     return ClaimRow{*state,
--- a/src/libs/claims/claimrows.cpp
+++ b/src/libs/claims/claimrows.cpp
@@ -10,7 +10,8 @@
 
 std::uint64_t fenceAt(Base::WallTime time)
 {
-    // Grows over a row that was swept away as well, where no counter is left to go on from.
+    // A fence derived from the time also exceeds that of a row that has been deleted after its
+    // retention, where no counter is left to continue.
     using std::chrono::milliseconds;
     const auto count = std::chrono::duration_cast<milliseconds>(time.time_since_epoch()).count();
     return static_cast<std::uint64_t>(std::max<std::int64_t>(count, 1));
@@ -18,9 +19,9 @@
 
 } // namespace
 
-ClaimRows::ClaimRows(const ClaimPolicy &policy, const Base::HostId &self,
-                     Base::Incarnation incarnation, Storage::TableService &table,
-                     Storage::OperationIds &operations, Base::RandomSource &random)
+ClaimProcessor::ClaimProcessor(const ClaimPolicy &policy, const Base::HostId &self,
+                               Base::Incarnation incarnation, Storage::TableService &table,
+                               Storage::OperationIds &operations, Base::RandomSource &random)
     : m_policy(policy)
     , m_self(self)
     , m_incarnation(incarnation)
@@ -29,7 +30,8 @@
     , m_reader(policy.largestReads, table, operations)
 {}
 
-ClaimId ClaimRows::begin(const ClaimSubject &subject, Base::TimePoint now, Base::WallTime wallNow)
+ClaimId ClaimProcessor::begin(const ClaimSubject &subject, Base::TimePoint now,
+                              Base::WallTime wallNow)
 {
     const ClaimId id = ++m_lastId;
     OpenClaim &claim = m_claims[id];
@@ -43,18 +45,18 @@
     claim.row.incarnation = m_incarnation;
     claim.row.contentHash = subject.contentHash;
     claim.row.fence = fenceAt(wallNow);
-    // The lease counts from here, whichever write of the claim takes effect.
+    // The lease is counted from here, whichever write of the claim takes effect.
     claim.writtenAt = now;
     if (isRepeating(subject.customer, now))
         read(id, claim);
     else
         write(id, claim, now);
-    setTimer(id, claim, now + m_policy.decideWithin);
+    setTimer(id, claim, now + m_policy.decisionTimeout);
     m_writer.flush(now);
     return id;
 }
 
-bool ClaimRows::isHeld(ClaimId id, Base::TimePoint now) const
+bool ClaimProcessor::isHeld(ClaimId id, Base::TimePoint now) const
 {
     const auto it = m_claims.find(id);
     if (it == m_claims.end())
@@ -63,7 +65,7 @@
     return claim.isOwned && !claim.isLost && now < claim.leaseEnd;
 }
 
-void ClaimRows::complete(ClaimId id, const std::string &answer, Base::TimePoint now)
+void ClaimProcessor::complete(ClaimId id, const std::string &answer, Base::TimePoint now)
 {
     OpenClaim *claim = find(id);
     if (!claim)
@@ -71,34 +73,34 @@
     claim->row.isAnswerKept = answer.size() <= m_policy.largestAnswer;
     if (claim->row.isAnswerKept)
         claim->row.answer = answer;
-    settle(id, *claim, ClaimGoal::Complete, now);
+    setFinalGoal(id, *claim, ClaimGoal::Complete, now);
 }
 
-void ClaimRows::release(ClaimId id, Base::TimePoint now)
+void ClaimProcessor::release(ClaimId id, Base::TimePoint now)
 {
     if (OpenClaim *claim = find(id))
-        settle(id, *claim, ClaimGoal::Release, now);
+        setFinalGoal(id, *claim, ClaimGoal::Release, now);
 }
 
-void ClaimRows::abandon(ClaimId id)
+void ClaimProcessor::abandon(ClaimId id)
 {
     OpenClaim *claim = find(id);
     if (!claim)
         return;
-    // Never owned: isHeld() was never true, so the work can't have left.
+    // For a claim that was never owned, isHeld() was never true, so the work cannot have been sent.
     if (claim->isOwned)
         m_claims.erase(id);
     else
-        settle(id, *claim, ClaimGoal::Release, claim->startedAt);
+        setFinalGoal(id, *claim, ClaimGoal::Release, claim->startedAt);
 }
 
-void ClaimRows::settle(ClaimId id, OpenClaim &claim, ClaimGoal goal, Base::TimePoint now)
+void ClaimProcessor::setFinalGoal(ClaimId id, OpenClaim &claim, ClaimGoal goal, Base::TimePoint now)
 {
     claim.goal = goal;
     claim.attempts = 0;
     const bool isBusy = claim.step == ClaimStep::Writing || claim.step == ClaimStep::Reading;
     if (isBusy)
-        return; // What is under way is judged by the new goal.
+        return; // The outcome of the call in flight is handled for the new goal.
     if (claim.isOwned)
         write(id, claim, now);
     else if (claim.mayBeWritten)
@@ -108,7 +110,7 @@
     m_writer.flush(now);
 }
 
-void ClaimRows::advance(Base::TimePoint now)
+void ClaimProcessor::advance(Base::TimePoint now)
 {
     while (!m_timers.empty() && m_timers.begin()->first <= now) {
         const auto [at, id] = *m_timers.begin();
@@ -116,8 +118,8 @@
         OpenClaim *claim = find(id);
         if (!claim)
             continue;
-        const bool isOverdue = now >= claim->startedAt + m_policy.decideWithin;
-        if (claim->goal == ClaimGoal::Own && isOverdue)
+        const bool isOverdue = now >= claim->startedAt + m_policy.decisionTimeout;
+        if (claim->goal == ClaimGoal::Acquire && isOverdue)
             giveUp(id, *claim, now);
         else if (claim->timerAt == at)
             timerDue(id, *claim, now);
@@ -125,7 +127,7 @@
     m_writer.flush(now);
 }
 
-Base::TimePoint ClaimRows::nextDue() const
+Base::TimePoint ClaimProcessor::nextDue() const
 {
     if (!m_decisions.empty())
         return Base::TimePoint::min();
@@ -133,7 +135,7 @@
     return m_timers.empty() ? due : std::min(due, m_timers.begin()->first);
 }
 
-bool ClaimRows::handle(const Storage::TableOutcome &outcome, Base::TimePoint now)
+bool ClaimProcessor::handle(const Storage::TableOutcome &outcome, Base::TimePoint now)
 {
     if (const std::optional<ClaimId> id = m_reader.handle(outcome)) {
         if (OpenClaim *claim = find(*id))
@@ -141,7 +143,7 @@
     } else if (!m_writer.handle(outcome)) {
         return false;
     }
-    for (const RowResult &result : m_writer.takeResults()) {
+    for (const RowWriteResult &result : m_writer.takeResults()) {
         if (OpenClaim *claim = find(result.claim))
             rowWritten(result.claim, *claim, result, now);
     }
@@ -149,13 +151,13 @@
     return true;
 }
 
-OpenClaim *ClaimRows::find(ClaimId id)
+OpenClaim *ClaimProcessor::find(ClaimId id)
 {
     const auto it = m_claims.find(id);
     return it == m_claims.end() ? nullptr : &it->second;
 }
 
-void ClaimRows::write(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::write(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     const Base::WallTime wall = claim.wallAt(now);
     ClaimRow &row = claim.row;
@@ -172,28 +174,28 @@
     row.leaseUntil = claim.wallAt(claim.writtenAt)
                      + std::chrono::duration_cast<Base::WallTime::duration>(m_policy.lease);
     claim.step = ClaimStep::Writing;
-    claim.written = claim.goal;
+    claim.writingGoal = claim.goal;
     m_writer.write(id, {claim.key, encodeClaim(row), claim.expected});
 }
 
-void ClaimRows::read(ClaimId id, OpenClaim &claim)
+void ClaimProcessor::read(ClaimId id, OpenClaim &claim)
 {
     claim.step = ClaimStep::Reading;
     m_reader.read(id, claim.customer, claim.key);
 }
 
-bool ClaimRows::isRepeating(const Base::CustomerId &customer, Base::TimePoint now)
+bool ClaimProcessor::isRepeating(const Base::CustomerId &customer, Base::TimePoint now)
 {
-    const auto it = m_repeaters.find(customer);
-    if (it == m_repeaters.end())
+    const auto it = m_repeatingCustomers.find(customer);
+    if (it == m_repeatingCustomers.end())
         return false;
     if (now < it->second)
         return true;
-    m_repeaters.erase(it);
+    m_repeatingCustomers.erase(it);
     return false;
 }
 
-void ClaimRows::pause(ClaimId id, OpenClaim &claim, bool isReadDue, Base::TimePoint now)
+void ClaimProcessor::pause(ClaimId id, OpenClaim &claim, bool isReadDue, Base::TimePoint now)
 {
     claim.step = ClaimStep::Pausing;
     claim.isReadDue = isReadDue;
@@ -204,19 +206,19 @@
     setTimer(id, claim, now + length + Base::Duration(m_random->next() % spread));
 }
 
-void ClaimRows::setTimer(ClaimId id, OpenClaim &claim, Base::TimePoint at)
+void ClaimProcessor::setTimer(ClaimId id, OpenClaim &claim, Base::TimePoint at)
 {
     claim.timerAt = at;
     m_timers.emplace(at, id);
 }
 
-void ClaimRows::timerDue(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::timerDue(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     const bool isBusy = claim.step == ClaimStep::Writing || claim.step == ClaimStep::Reading;
     if (isBusy)
         return;
-    // Lapsed: not renewed, since others may have been told so; the request is refused by
-    // maySend() and releases the key.
+    // An expired lease is not renewed, since other callers may already have been told that it
+    // expired. maySend() refuses the request, which then releases the key.
     if (claim.goal == ClaimGoal::Renew && now >= claim.leaseEnd)
         return;
     if (claim.isReadDue)
@@ -226,8 +228,8 @@
     claim.isReadDue = false;
 }
 
-void ClaimRows::rowWritten(ClaimId id, OpenClaim &claim, const RowResult &result,
-                           Base::TimePoint now)
+void ClaimProcessor::rowWritten(ClaimId id, OpenClaim &claim, const RowWriteResult &result,
+                                Base::TimePoint now)
 {
     claim.step = ClaimStep::Idle;
     switch (result.status) {
@@ -244,24 +246,26 @@
     case TableStatus::Conflict:
         break;
     }
-    // Somebody's row, or our own from a write whose answer was lost: its token tells. Without
-    // this look a lost answer would leave our own claim in the way of its own request.
+    // The row belongs to another claimer, or to this one from a write whose answer was lost. The
+    // token of the row tells which. Without this read, a lost answer would make a claim block its
+    // own request.
     if (claim.goal == ClaimGoal::Release && !claim.mayBeWritten)
         m_claims.erase(id);
     else
         read(id, claim);
 }
 
-void ClaimRows::writeDone(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::writeDone(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     claim.mayBeWritten = true;
     claim.attempts = 0;
-    switch (claim.written) {
-    case ClaimGoal::Own:
-        own(id, claim, now);
+    switch (claim.writingGoal) {
+    case ClaimGoal::Acquire:
+        setOwned(id, claim, now);
         return;
     case ClaimGoal::Renew:
-        // An answer after the old lease's end renews nothing: maySend() said no meanwhile.
+        // An answer that arrives after the end of the old lease does not renew it, since maySend()
+        // has returned false in the meantime.
         if (now < claim.leaseEnd)
             claim.leaseEnd = claim.writtenAt + m_policy.lease;
         if (claim.goal == ClaimGoal::Renew)
@@ -276,70 +280,72 @@
     }
 }
 
-void ClaimRows::writeNotDone(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::writeNotDone(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     const bool isUnwritten = !claim.mayBeWritten;
-    if (claim.goal == ClaimGoal::Own || (claim.goal == ClaimGoal::Release && isUnwritten))
+    if (claim.goal == ClaimGoal::Acquire || (claim.goal == ClaimGoal::Release && isUnwritten))
         giveUp(id, claim, now);
     else
         pause(id, claim, false, now);
 }
 
-void ClaimRows::rowRead(ClaimId id, OpenClaim &claim, const Storage::TableOutcome &outcome,
-                        Base::TimePoint now)
+void ClaimProcessor::rowRead(ClaimId id, OpenClaim &claim, const Storage::TableOutcome &outcome,
+                             Base::TimePoint now)
 {
     claim.step = ClaimStep::Idle;
     if (outcome.status != TableStatus::Done) {
         const bool isLast = claim.attempts >= m_policy.largestAttempts;
         const bool isUnwritten = claim.goal == ClaimGoal::Release && !claim.mayBeWritten;
-        if ((claim.goal == ClaimGoal::Own && isLast) || isUnwritten)
+        if ((claim.goal == ClaimGoal::Acquire && isLast) || isUnwritten)
             giveUp(id, claim, now);
         else
             pause(id, claim, true, now);
         return;
     }
-    const JudgedRow judged =
-        judgeRows(outcome.rows, claim.row, claim.wallAt(now), m_policy.clockSkew);
-    switch (judged.meaning) {
-    case RowMeaning::Absent:
-        judgeAbsent(id, claim, now);
+    const ClassifiedRow classified =
+        classifyRow(outcome.rows, claim.row, claim.wallAt(now), m_policy.clockSkew);
+    switch (classified.kind) {
+    case RowKind::Absent:
+        handleAbsentRow(id, claim, now);
         return;
-    case RowMeaning::Own:
-        judgeOwn(id, claim, judged, now);
+    case RowKind::Own:
+        handleOwnRow(id, claim, classified, now);
         return;
-    case RowMeaning::Free:
-        judgeFree(id, claim, judged, now);
+    case RowKind::Free:
+        handleReleasedRow(id, claim, classified, now);
         return;
     default:
-        judgeOther(id, claim, judged, now);
+        handleForeignRow(id, claim, classified, now);
     }
 }
 
-void ClaimRows::judgeAbsent(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::handleAbsentRow(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     if (claim.goal == ClaimGoal::Renew) {
         claim.isLost = true;
         return;
     }
-    // A write that timed out may arrive yet. Written again with the same token, whichever comes
-    // first makes the row and the other fails; a released row keeps it out in the same way.
+    // A write that timed out may still arrive. The row is written again with the same token:
+    // whichever write comes first creates the row, and the other fails. A released row blocks a
+    // late write in the same way.
     claim.expected = Storage::absentRow;
     if (claim.goal == ClaimGoal::Release && !claim.mayBeWritten)
         m_claims.erase(id);
     else
-        writeAgain(id, claim, now);
+        retryWrite(id, claim, now);
 }
 
-void ClaimRows::judgeOwn(ClaimId id, OpenClaim &claim, const JudgedRow &judged, Base::TimePoint now)
+void ClaimProcessor::handleOwnRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
+                                  Base::TimePoint now)
 {
-    claim.expected = judged.version;
+    claim.expected = classified.version;
     claim.mayBeWritten = true;
-    const bool isCompleted = judged.row.state == ClaimState::Completed;
-    const bool isReleased = judged.row.state == ClaimState::Released;
+    const bool isCompleted = classified.row.state == ClaimState::Completed;
+    const bool isReleased = classified.row.state == ClaimState::Released;
     switch (claim.goal) {
-    case ClaimGoal::Own:
-        claim.row.fence = judged.row.fence;
-        own(id, claim, now);
+    case ClaimGoal::Acquire:
+        claim.row.fence = classified.row.fence;
+        setOwned(id, claim, now);
         return;
     case ClaimGoal::Renew:
         if (now < claim.leaseEnd)
@@ -355,79 +361,81 @@
     }
 }
 
-void ClaimRows::judgeFree(ClaimId id, OpenClaim &claim, const JudgedRow &judged,
-                          Base::TimePoint now)
+void ClaimProcessor::handleReleasedRow(ClaimId id, OpenClaim &claim,
+                                       const ClassifiedRow &classified, Base::TimePoint now)
 {
     const bool isReleasing = claim.goal == ClaimGoal::Release && claim.mayBeWritten;
-    if (claim.goal != ClaimGoal::Own && !isReleasing) {
-        judgeOther(id, claim, judged, now);
+    if (claim.goal != ClaimGoal::Acquire && !isReleasing) {
+        handleForeignRow(id, claim, classified, now);
         return;
     }
-    // When releasing as well: a claim of ours over this row may be under way, and fails only
-    // if the row's version has changed.
-    claim.expected = judged.version;
-    claim.row.fence = std::max(claim.row.fence, judged.row.fence + 1);
-    writeAgain(id, claim, now);
+    // This is also needed for a release: a claim write of this process over the row may be in
+    // flight, and it fails only if the row's version has changed.
+    claim.expected = classified.version;
+    claim.row.fence = std::max(claim.row.fence, classified.row.fence + 1);
+    retryWrite(id, claim, now);
 }
 
-void ClaimRows::judgeOther(ClaimId id, OpenClaim &claim, const JudgedRow &judged,
-                           Base::TimePoint now)
+void ClaimProcessor::handleForeignRow(ClaimId id, OpenClaim &claim, const ClassifiedRow &classified,
+                                      Base::TimePoint now)
 {
     if (claim.goal == ClaimGoal::Renew) {
         claim.isLost = true;
         return;
     }
-    // To complete or release what is another's now would undo the other's work: left alone. A
-    // late write of our own can't arrive either, while there is a row.
-    if (claim.goal == ClaimGoal::Own) {
-        // Written straight away, each repeat would break up a batch of others' claims.
-        m_repeaters[claim.customer] = now + m_policy.readFirstFor;
-        tell(id, claim, verdictOf(judged.meaning), judged.row.answer);
+    // A row of another claimer is never completed or released, since that would undo the other's
+    // work. A late write of this process cannot take effect either while there is a row.
+    if (claim.goal == ClaimGoal::Acquire) {
+        // If its repeats were written without a read, each of them would make a batch with the
+        // claims of others fail.
+        m_repeatingCustomers[claim.customer] = now + m_policy.readFirstPeriod;
+        addDecision(id, claim, verdictOf(classified.kind), classified.row.answer);
     }
     m_claims.erase(id);
 }
 
-void ClaimRows::own(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::setOwned(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
     claim.isOwned = true;
     claim.attempts = 0;
     claim.leaseEnd = claim.writtenAt + m_policy.lease;
-    if (claim.goal != ClaimGoal::Own) {
+    if (claim.goal != ClaimGoal::Acquire) {
         write(id, claim, now);
         return;
     }
     claim.goal = ClaimGoal::Renew;
     setTimer(id, claim, claim.writtenAt + m_policy.lease / 2);
-    tell(id, claim, ClaimVerdict::Claimed);
+    addDecision(id, claim, ClaimVerdict::Claimed);
 }
 
-void ClaimRows::writeAgain(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::retryWrite(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
-    if (claim.goal == ClaimGoal::Own && ++claim.attempts > m_policy.largestAttempts)
+    if (claim.goal == ClaimGoal::Acquire && ++claim.attempts > m_policy.largestAttempts)
         giveUp(id, claim, now);
     else
         write(id, claim, now);
 }
 
-void ClaimRows::giveUp(ClaimId id, OpenClaim &claim, Base::TimePoint now)
+void ClaimProcessor::giveUp(ClaimId id, OpenClaim &claim, Base::TimePoint now)
 {
-    if (claim.goal == ClaimGoal::Own)
-        tell(id, claim, ClaimVerdict::Unavailable);
+    if (claim.goal == ClaimGoal::Acquire)
+        addDecision(id, claim, ClaimVerdict::Unavailable);
     claim.goal = ClaimGoal::Release;
     claim.attempts = 0;
     const bool isBusy = claim.step == ClaimStep::Writing || claim.step == ClaimStep::Reading;
     if (isBusy)
         return;
-    // Our row may be there, or come: the key would stay taken until the end of its retention.
-    // Only this process knows that nothing was sent, so it goes on until the row is released.
+    // The row of this claim may exist or may still be created, and the key would then stay taken
+    // until the end of its retention. Only this process knows that nothing was sent, so it retries
+    // until the row is released.
     if (claim.mayBeWritten)
         pause(id, claim, true, now);
     else
         m_claims.erase(id);
 }
 
-void ClaimRows::tell(ClaimId id, const OpenClaim &claim, ClaimVerdict verdict,
-                     const std::string &answer)
+void ClaimProcessor::addDecision(ClaimId id, const OpenClaim &claim, ClaimVerdict verdict,
+                                 const std::string &answer)
 {
     const std::uint64_t fence = verdict == ClaimVerdict::Claimed ? claim.row.fence : 0;
     m_decisions.push_back({id, verdict, answer, fence});
--- a/src/libs/wire/messagedecoder.h
+++ b/src/libs/wire/messagedecoder.h
@@ -8,18 +8,20 @@
 
 namespace Wire::Internal {
 
-/// Reads the messages of one batch.
+/// Converts the messages of one protobuf batch to node messages. Sender and receiver stand in for
+/// the names that the batch leaves out.
 class MessageDecoder
 {
 public:
     MessageDecoder(const lagoonmast::wire::Batch &batch, const Base::HostId &receiver);
 
-    /// Fails with MalformedBatch.
+    /// Returns the node message for \a from. Fails with MalformedBatch.
     Base::Result<Node::PeerMessage> decode(const lagoonmast::wire::Message &from) const;
 
 private:
-    Base::Result<Node::AttemptId> attempt(const lagoonmast::wire::Attempt &from) const;
-    Base::Result<Node::PermitRequest> request(const lagoonmast::wire::PermitRequest &from) const;
+    Base::Result<Node::AttemptId> decodeAttempt(const lagoonmast::wire::Attempt &from) const;
+    Base::Result<Node::PermitRequest>
+    decodeRequest(const lagoonmast::wire::PermitRequest &from) const;
     Base::Result<Node::PeerMessage> decode(const lagoonmast::wire::PermitGrant &from) const;
     Base::Result<Node::PeerMessage> decode(const lagoonmast::wire::PermitRefusal &from) const;
     Base::Result<Node::PeerMessage> decode(const lagoonmast::wire::PermitCancel &from) const;
--- a/src/libs/wire/messageencoder.h
+++ b/src/libs/wire/messageencoder.h
@@ -7,11 +7,11 @@
 
 namespace Wire::Internal {
 
-/// Fills one protobuf message from one node message; a visitor of Node::PeerMessage.
+/// Fills one protobuf message from a node message. Visits Node::PeerMessage.
 class MessageEncoder
 {
 public:
-    MessageEncoder(lagoonmast::wire::Batch &batch, const BatchEnds &ends,
+    MessageEncoder(lagoonmast::wire::Batch &batch, const BatchEnds &endpoints,
                    lagoonmast::wire::Message &message);
 
     void operator()(const Coordination::Heartbeat &from);
@@ -35,10 +35,12 @@
 private:
     void encodeAttempt(lagoonmast::wire::Attempt &to, const Node::AttemptId &from);
     void encodeRequest(lagoonmast::wire::PermitRequest &to, const Node::PermitRequest &from);
-    bool isReceivers(const Base::RequestKey &request);
+    /// Returns whether \a request belongs to the receiver at the incarnation that the batch names.
+    /// Names that incarnation in the batch if it names none yet.
+    bool belongsToReceiver(const Base::RequestKey &request);
 
     lagoonmast::wire::Batch *m_batch;
-    const BatchEnds *m_ends;
+    const BatchEnds *m_endpoints;
     lagoonmast::wire::Message *m_message;
 };
 
