--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -34,7 +34,7 @@
     const ServerDirectory &directory;
     Claims::ClaimBook &claims;
     const PoolHomes &homes;
-    const HomeOrders &orders;
+    const HomeOrderCache &orders;
     Outbox &outbox;
 };
 
--- a/src/libs/node/homeorders.cpp
+++ b/src/libs/node/homeorders.cpp
@@ -4,12 +4,12 @@
 
 namespace Node {
 
-HomeOrders::HomeOrders(const Coordination::Membership &membership)
+HomeOrderCache::HomeOrderCache(const Coordination::Membership &membership)
     : m_membership(&membership)
 {}
 
-const std::vector<Base::HostId> &HomeOrders::order(const Base::PoolId &pool,
-                                                   std::uint32_t shard) const
+const std::vector<Base::HostId> &HomeOrderCache::order(const Base::PoolId &pool,
+                                                       std::uint32_t shard) const
 {
     if (m_view != m_membership->viewVersion()) {
         m_view = m_membership->viewVersion();
@@ -22,7 +22,7 @@
     return it->second;
 }
 
-Base::HostId HomeOrders::home(const Base::PoolId &pool, std::uint32_t shard) const
+Base::HostId HomeOrderCache::home(const Base::PoolId &pool, std::uint32_t shard) const
 {
     const std::vector<Base::HostId> &homes = order(pool, shard);
     return homes.empty() ? m_membership->self().host : homes.front();
--- a/src/libs/node/homeorders.h
+++ b/src/libs/node/homeorders.h
@@ -14,11 +14,11 @@
 ///
 /// Worked out once for each view: hashing all routers anew for every request cost 4% of a core
 /// with 128 routers under load (docs/CAPACITY.md).
-class HomeOrders
+class HomeOrderCache
 {
 public:
     /// \a membership outlives the object.
-    explicit HomeOrders(const Coordination::Membership &membership);
+    explicit HomeOrderCache(const Coordination::Membership &membership);
 
     /// The home first, its standby second; empty while no router is usable.
     const std::vector<Base::HostId> &order(const Base::PoolId &pool, std::uint32_t shard) const;
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -51,12 +51,13 @@
     BOOST_LEAF_AUTO(sweeper,
                     Claims::ClaimSweeper::create(m_settings.sweep, *m_table, m_operations));
     m_sweeper = std::make_unique<Claims::ClaimSweeper>(std::move(sweeper));
-    m_orders = std::make_unique<HomeOrders>(*m_membership);
-    m_homes = std::make_unique<PoolHomes>(HomeContext{
-        m_settings, m_environment, *m_membership, *m_configuration, m_directory, *m_orders, *this});
+    m_homeOrders = std::make_unique<HomeOrderCache>(*m_membership);
+    m_homes = std::make_unique<PoolHomes>(HomeContext{m_settings, m_environment, *m_membership,
+                                                      *m_configuration, m_directory, *m_homeOrders,
+                                                      *this});
     BOOST_LEAF_AUTO(
         entry, EntryRequests::create({m_settings, m_environment, *m_membership, *m_configuration,
-                                      m_directory, *m_claims, *m_homes, *m_orders, *this}));
+                                      m_directory, *m_claims, *m_homes, *m_homeOrders, *this}));
     m_entry = std::move(entry);
     return {};
 }
@@ -103,7 +104,7 @@
 
 bool Node::isSweeper() const
 {
-    return !m_isLeaving && m_orders->home(Base::PoolId(sweepPool), 0) == m_settings.self.host;
+    return !m_isLeaving && m_homeOrders->home(Base::PoolId(sweepPool), 0) == m_settings.self.host;
 }
 
 NodeStatus Node::status() const
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -125,7 +125,7 @@
     std::unique_ptr<Claims::ClaimBook> m_claims;
     std::unique_ptr<Claims::ClaimSweeper> m_sweeper;
     std::unique_ptr<EntryRequests> m_entry;
-    std::unique_ptr<HomeOrders> m_orders;
+    std::unique_ptr<HomeOrderCache> m_homeOrders;
     std::unique_ptr<PoolHomes> m_homes;
     std::deque<PeerMessage> m_local;
     std::uint64_t m_appliedView = 0;
--- a/src/libs/node/permitclient.h
+++ b/src/libs/node/permitclient.h
@@ -27,7 +27,7 @@
     const Coordination::Membership &membership;
     const ServerDirectory &directory;
     const PoolHomes &homes;
-    const HomeOrders &orders;
+    const HomeOrderCache &orders;
     Outbox &outbox;
 };
 
--- a/src/libs/node/poolhomes.h
+++ b/src/libs/node/poolhomes.h
@@ -33,7 +33,7 @@
     const Coordination::Membership &membership;
     const Coordination::ConfigurationReplica &configuration;
     const ServerDirectory &directory;
-    const HomeOrders &orders;
+    const HomeOrderCache &orders;
     Outbox &outbox;
 };
 
