--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -190,7 +190,7 @@
     OpenRequest *open = find(refusal.attempt);
     if (!open || open->state != RequestState::Waiting)
         return;
-    m_permits.stopWatching(*open);
+    m_permits.stopMonitoring(*open);
     m_recorder.hop(*open, Hop::Queue, open->askedAt, now, open->home.value(), true);
     failWith(*open, failureOf(refusal), now);
 }
@@ -302,7 +302,7 @@
 void EntryRequests::reconcile(const Base::HostId &home, const WaitingReply &reply,
                               Base::TimePoint now)
 {
-    const HomeWatch::Difference difference = m_permits.compare(home, reply);
+    const HomeMonitor::Difference difference = m_permits.compare(home, reply);
     for (const AttemptId &attempt : difference.missing) {
         const OpenRequest *open = find(attempt);
         if (open && open->state == RequestState::Waiting)
--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -65,7 +65,7 @@
 
     /// Compares what waits at \a home with what it says, and mends the difference.
     void reconcile(const Base::HostId &home, const WaitingReply &reply, Base::TimePoint now);
-    std::vector<Base::HostId> takeSilentHomes() { return m_permits.takeSilentHomes(); }
+    std::vector<Base::HostId> takeUnresponsiveHomes() { return m_permits.takeUnresponsiveHomes(); }
     /// The set of usable routers changed: asks new homes, tells them of permits in use.
     void rehome(Base::TimePoint now);
     void advance(Base::TimePoint now);
--- a/src/libs/node/homewatch.cpp
+++ b/src/libs/node/homewatch.cpp
@@ -5,79 +5,79 @@
 
 namespace Node {
 
-HomeWatch::HomeWatch(const HomeWatchPolicy &policy)
+HomeMonitor::HomeMonitor(const HomeMonitorPolicy &policy)
     : m_policy(policy)
 {}
 
-void HomeWatch::add(const Place &place, const AttemptId &attempt, Base::TimePoint now)
+void HomeMonitor::add(const ShardHome &shardHome, const AttemptId &attempt, Base::TimePoint now)
 {
-    Watch &watch = m_watches[place];
-    if (watch.waiting.count() == 0) {
-        watch.unanswered = 0;
-        watch.nextDigest = now + m_policy.digestInterval;
+    WaitState &state = m_waitStates[shardHome];
+    if (state.waiting.count() == 0) {
+        state.unanswered = 0;
+        state.nextDigest = now + m_policy.digestInterval;
     }
-    watch.waiting.add(attempt);
+    state.waiting.add(attempt);
 }
 
-void HomeWatch::remove(const Place &place, const AttemptId &attempt)
+void HomeMonitor::remove(const ShardHome &shardHome, const AttemptId &attempt)
 {
-    const auto it = m_watches.find(place);
-    if (it == m_watches.end())
+    const auto it = m_waitStates.find(shardHome);
+    if (it == m_waitStates.end())
         return;
     it->second.waiting.remove(attempt);
     if (it->second.waiting.count() == 0)
-        m_watches.erase(it);
+        m_waitStates.erase(it);
 }
 
-HomeWatch::Difference HomeWatch::compare(const Base::HostId &home, const WaitingReply &reply)
+HomeMonitor::Difference HomeMonitor::compare(const Base::HostId &home, const WaitingReply &reply)
 {
     Difference difference;
-    const auto it = m_watches.find({home, reply.pool, reply.shard});
-    if (it == m_watches.end() || it->second.number != reply.number)
+    const auto it = m_waitStates.find({home, reply.pool, reply.shard});
+    if (it == m_waitStates.end() || it->second.number != reply.number)
         return difference;
-    Watch &watch = it->second;
-    watch.unanswered = 0;
+    WaitState &state = it->second;
+    state.unanswered = 0;
     if (reply.isMatch)
         return difference;
     // What was asked for after the digest is on its way and is judged by the next one.
-    for (const AttemptId &attempt : watch.compared) {
+    for (const AttemptId &attempt : state.digested) {
         const bool isKnown = std::find(reply.attempts.begin(), reply.attempts.end(), attempt)
                              != reply.attempts.end();
-        if (!isKnown && watch.waiting.contains(attempt))
+        if (!isKnown && state.waiting.contains(attempt))
             difference.missing.push_back(attempt);
     }
     for (const AttemptId &attempt : reply.attempts) {
-        if (!watch.waiting.contains(attempt))
+        if (!state.waiting.contains(attempt))
             difference.unwanted.push_back(attempt);
     }
     return difference;
 }
 
-std::vector<HomeWatch::Digest> HomeWatch::takeDigests(Base::TimePoint now)
+std::vector<HomeMonitor::Digest> HomeMonitor::takeDigests(Base::TimePoint now)
 {
     std::vector<Digest> digests;
-    for (auto &[place, watch] : m_watches) {
-        if (now < watch.nextDigest)
+    for (auto &[shardHome, state] : m_waitStates) {
+        if (now < state.nextDigest)
             continue;
-        watch.nextDigest = now + m_policy.digestInterval;
-        if (++watch.unanswered > m_policy.unansweredDigests) {
-            watch.unanswered = 0;
-            m_silent.push_back(place.home);
+        state.nextDigest = now + m_policy.digestInterval;
+        if (++state.unanswered > m_policy.maxUnansweredDigests) {
+            state.unanswered = 0;
+            m_unresponsive.push_back(shardHome.home);
             continue;
         }
-        const std::set<AttemptId> &attempts = watch.waiting.attempts();
-        watch.compared.assign(attempts.begin(), attempts.end());
+        const std::set<AttemptId> &attempts = state.waiting.attempts();
+        state.digested.assign(attempts.begin(), attempts.end());
         digests.push_back(
-            {place.home,
-             {place.pool, place.shard, ++watch.number,
-              static_cast<std::uint32_t>(watch.waiting.count()), watch.waiting.hash()}});
+            {shardHome.home,
+             {shardHome.pool, shardHome.shard, ++state.number,
+              static_cast<std::uint32_t>(state.waiting.count()), state.waiting.hash()}});
     }
     return digests;
 }
 
-std::vector<Base::HostId> HomeWatch::takeSilentHomes()
+std::vector<Base::HostId> HomeMonitor::takeUnresponsiveHomes()
 {
-    return std::exchange(m_silent, {});
+    return std::exchange(m_unresponsive, {});
 }
 
 } // namespace Node
--- a/src/libs/node/homewatch.h
+++ b/src/libs/node/homewatch.h
@@ -13,13 +13,13 @@
 
 namespace Node {
 
-struct HomeWatchPolicy
+struct HomeMonitorPolicy
 {
     /// Between two digests to a home where requests wait. A lost message is found after at
     /// most one of these and a round trip.
     Base::Duration digestInterval = std::chrono::milliseconds(500);
     /// Digests without a reply after which a home counts as gone: one may be lost.
-    int unansweredDigests = 2;
+    int maxUnansweredDigests = 2;
 };
 
 /// The entry side's watch over the homes at which its requests wait.
@@ -27,16 +27,16 @@
 /// Guards against a home that is frozen, cut off or restarted, and against lost messages:
 /// without it such a request would wait for ever while nobody knows of it. A digest per home
 /// costs the same however many requests wait.
-class HomeWatch
+class HomeMonitor
 {
 public:
-    struct Place
+    struct ShardHome
     {
         Base::HostId home;
         Base::PoolId pool;
         std::uint32_t shard = 0;
 
-        auto operator<=>(const Place &) const = default;
+        auto operator<=>(const ShardHome &) const = default;
     };
 
     struct Difference
@@ -53,31 +53,31 @@
         WaitingDigest message;
     };
 
-    explicit HomeWatch(const HomeWatchPolicy &policy);
+    explicit HomeMonitor(const HomeMonitorPolicy &policy);
 
-    void add(const Place &place, const AttemptId &attempt, Base::TimePoint now);
-    void remove(const Place &place, const AttemptId &attempt);
+    void add(const ShardHome &shardHome, const AttemptId &attempt, Base::TimePoint now);
+    void remove(const ShardHome &shardHome, const AttemptId &attempt);
     Difference compare(const Base::HostId &home, const WaitingReply &reply);
 
     /// Digests due at \a now.
     std::vector<Digest> takeDigests(Base::TimePoint now);
     /// Homes that left too many digests unanswered; told once.
-    std::vector<Base::HostId> takeSilentHomes();
+    std::vector<Base::HostId> takeUnresponsiveHomes();
 
 private:
-    struct Watch
+    struct WaitState
     {
         WaitingSet waiting;
         /// What was waiting when the last digest was made.
-        std::vector<AttemptId> compared;
+        std::vector<AttemptId> digested;
         std::uint64_t number = 0;
         int unanswered = 0;
         Base::TimePoint nextDigest{};
     };
 
-    HomeWatchPolicy m_policy;
-    std::map<Place, Watch> m_watches;
-    std::vector<Base::HostId> m_silent;
+    HomeMonitorPolicy m_policy;
+    std::map<ShardHome, WaitState> m_waitStates;
+    std::vector<Base::HostId> m_unresponsive;
 };
 
 } // namespace Node
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -156,7 +156,7 @@
     for (const Claims::ClaimOutcome &outcome : m_claims->takeOutcomes())
         m_entry->claimDecided(outcome, now);
     answerTargetWrites(now);
-    for (const Base::HostId &home : m_entry->takeSilentHomes())
+    for (const Base::HostId &home : m_entry->takeUnresponsiveHomes())
         m_membership->recordUnreachable(home, now);
     applyView(now);
     deliverLocally(now);
--- a/src/libs/node/nodesettings.h
+++ b/src/libs/node/nodesettings.h
@@ -35,7 +35,7 @@
     Scheduling::RetryBudgetPolicy retries;
     Claims::ClaimPolicy claims;
     Claims::SweepPolicy sweep;
-    HomeWatchPolicy homeWatch;
+    HomeMonitorPolicy homeMonitor;
     Storage::TableGatewayPolicy table;
     Scheduling::RetryPolicyLimits retryPolicy;
     Scheduling::ShardSelectorPolicy shardSelector;
--- a/src/libs/node/permitclient.cpp
+++ b/src/libs/node/permitclient.cpp
@@ -36,7 +36,7 @@
 
 PermitClient::PermitClient(const PermitContext &context)
     : m_context(context)
-    , m_watch(context.settings.homeWatch)
+    , m_monitor(context.settings.homeMonitor)
 {}
 
 void PermitClient::ask(OpenRequest &open, Base::TimePoint now)
@@ -48,19 +48,19 @@
 
 void PermitClient::withdraw(const OpenRequest &open)
 {
-    stopWatching(open);
+    stopMonitoring(open);
     m_context.outbox.post(open.home, PermitCancel{open.attemptId(), open.pool, open.shard});
 }
 
-void PermitClient::stopWatching(const OpenRequest &open)
+void PermitClient::stopMonitoring(const OpenRequest &open)
 {
-    m_watch.remove({open.home, open.pool, open.shard}, open.attemptId());
+    m_monitor.remove({open.home, open.pool, open.shard}, open.attemptId());
 }
 
 void PermitClient::accept(OpenRequest &open, const Base::HostId &home, const PermitGrant &grant)
 {
     if (open.home == home)
-        stopWatching(open);
+        stopMonitoring(open);
     else
         withdraw(open);
     open.home = home;
@@ -109,7 +109,7 @@
         return;
     if (open.state == RequestState::Waiting) {
         if (home == open.home)
-            stopWatching(open);
+            stopMonitoring(open);
         else
             withdraw(open);
         waitAt(open, home, now);
@@ -123,9 +123,9 @@
                                            open.customer, open.target.name, open.charged});
 }
 
-HomeWatch::Difference PermitClient::compare(const Base::HostId &home, const WaitingReply &reply)
+HomeMonitor::Difference PermitClient::compare(const Base::HostId &home, const WaitingReply &reply)
 {
-    HomeWatch::Difference difference = m_watch.compare(home, reply);
+    HomeMonitor::Difference difference = m_monitor.compare(home, reply);
     for (const AttemptId &attempt : difference.unwanted)
         m_context.outbox.post(home, PermitCancel{attempt, reply.pool, reply.shard});
     return difference;
@@ -157,7 +157,7 @@
 
 void PermitClient::sendDigests(Base::TimePoint now)
 {
-    for (const HomeWatch::Digest &digest : m_watch.takeDigests(now))
+    for (const HomeMonitor::Digest &digest : m_monitor.takeDigests(now))
         m_context.outbox.post(digest.home, digest.message);
 }
 
@@ -179,7 +179,7 @@
 {
     open.home = home;
     open.homeIncarnation = incarnationOf(home);
-    m_watch.add({home, open.pool, open.shard}, open.attemptId(), now);
+    m_monitor.add({home, open.pool, open.shard}, open.attemptId(), now);
     m_context.outbox.post(home, permitRequest(open, now));
 }
 
--- a/src/libs/node/permitclient.h
+++ b/src/libs/node/permitclient.h
@@ -43,7 +43,7 @@
     /// Takes the ask back.
     void withdraw(const OpenRequest &open);
     /// The home has answered for good.
-    void stopWatching(const OpenRequest &open);
+    void stopMonitoring(const OpenRequest &open);
     /// Takes a grant, also from a home that the work was handed to.
     void accept(OpenRequest &open, const Base::HostId &home, const PermitGrant &grant);
     /// Gives back at once a permit that nobody wants, so that its slot does not idle.
@@ -55,14 +55,14 @@
     /// The usable routers changed: a waiting request asks the new home, a permit in use is told
     /// to it.
     void rehome(OpenRequest &open, Base::TimePoint now);
-    HomeWatch::Difference compare(const Base::HostId &home, const WaitingReply &reply);
+    HomeMonitor::Difference compare(const Base::HostId &home, const WaitingReply &reply);
     /// Asks again at \a home, which does not know of the ask.
     void repeat(const OpenRequest &open, const Base::HostId &home, Base::TimePoint now);
     /// A permit that \a home believes to be in use is not.
     void disown(const AttemptId &attempt, const Base::HostId &home, const Base::PoolId &pool,
                 std::uint32_t shard);
     void sendDigests(Base::TimePoint now);
-    std::vector<Base::HostId> takeSilentHomes() { return m_watch.takeSilentHomes(); }
+    std::vector<Base::HostId> takeUnresponsiveHomes() { return m_monitor.takeUnresponsiveHomes(); }
 
 private:
     Base::Incarnation incarnationOf(const Base::HostId &host) const;
@@ -72,7 +72,7 @@
     void remember(const PermitRelease &release);
 
     PermitContext m_context;
-    HomeWatch m_watch;
+    HomeMonitor m_monitor;
     /// The last releases, in case one was lost.
     std::deque<PermitRelease> m_released;
     std::map<Base::PoolId, Scheduling::ShardSelector> m_selectors;
