--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -17,7 +17,7 @@
 bool isSilent(const OpenRequest &open, Base::TimePoint now)
 {
     return open.state == RequestState::Sent && !open.isBlocked
-           && now - open.heardAt >= backendSilenceLimit;
+           && now - open.heardAt >= backendIdleTimeout;
 }
 
 } // namespace
@@ -315,7 +315,7 @@
     m_permits.sendDigests(now);
     if (now < m_nextCheck)
         return;
-    m_nextCheck = now + openCheckInterval;
+    m_nextCheck = now + openRequestCheckInterval;
     std::vector<Base::RequestKey> late;
     std::vector<AttemptId> silent;
     std::vector<Base::RequestKey> rested;
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -99,12 +99,13 @@
         return false;
     // A table that is down must not hold the exit for ever; what is not written then reads as
     // "may have run", which is safe.
-    return m_claims->unsettled() == 0 || now - *m_idleSince >= claimSettleLimit;
+    return m_claims->unsettled() == 0 || now - *m_idleSince >= claimSettleTimeout;
 }
 
 bool Node::isSweeper() const
 {
-    return !m_isLeaving && m_homeOrders->home(Base::PoolId(sweepPool), 0) == m_settings.self.host;
+    return !m_isLeaving
+           && m_homeOrders->home(Base::PoolId(claimSweepPool), 0) == m_settings.self.host;
 }
 
 NodeStatus Node::status() const
--- a/src/libs/node/requesttraits.cpp
+++ b/src/libs/node/requesttraits.cpp
@@ -17,8 +17,8 @@
 Base::ServiceUnits expectedCost(const CallerRequest &asked)
 {
     const std::uint64_t generated = asked.maxTokens == 0
-                                        ? expectedTokensWithoutHint
-                                        : std::min(asked.maxTokens, expectedTokensWithoutHint);
+                                        ? maxAssumedGeneratedTokens
+                                        : std::min(asked.maxTokens, maxAssumedGeneratedTokens);
     return asked.promptTokens + generated * generatedTokenWeight;
 }
 
