--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -54,7 +54,8 @@
 
     // A process that has just started must not answer that a model does not exist.
     if (!m_context.configuration.isReady() || !m_context.directory.isKnown()) {
-        Failure failure = failureOf(FailureType::NotReady, "no configuration or list of hosts yet");
+        Failure failure =
+            makeFailure(FailureType::NotReady, "no configuration or list of hosts yet");
         failure.retryAfter = notReadyRetryAfter;
         failWith(added, failure, now);
         return;
@@ -62,18 +63,18 @@
     const Settings::Configuration &configuration = m_context.configuration.configuration();
     const Settings::Customer *customer = configuration.customerByKeyDigest(asked.keyDigest);
     if (asked.keyDigest.empty() || !customer) {
-        failWith(added, failureOf(FailureType::Unauthorized, "unknown key"), now);
+        failWith(added, makeFailure(FailureType::Unauthorized, "unknown key"), now);
         return;
     }
     added.customer = customer->id;
     const Settings::VersionedTarget *target = configuration.target(asked.workClass);
     if (!target) {
-        failWith(added, failureOf(FailureType::UnknownClass, "unknown class of work"), now);
+        failWith(added, makeFailure(FailureType::UnknownClass, "unknown class of work"), now);
         return;
     }
     added.target = target->target;
     if (!m_context.directory.hasPool(added.pool)) {
-        failWith(added, failureOf(FailureType::UnknownPool, "unknown model or service"), now);
+        failWith(added, makeFailure(FailureType::UnknownPool, "unknown model or service"), now);
         return;
     }
     m_budget.recordFirstAttempt();
@@ -145,24 +146,24 @@
         replay(open, outcome.answer, now);
         return;
     case ClaimVerdict::CompletedUnstored:
-        failure = failureOf(FailureType::KeyInProgress,
-                            "a call with this key ran; its answer was too large to be kept");
+        failure = makeFailure(FailureType::KeyInProgress,
+                              "a call with this key ran; its answer was too large to be kept");
         failure.ran = Ran::Unknown;
         break;
     case ClaimVerdict::InProgress:
-        failure = failureOf(FailureType::KeyInProgress, "a call with this key is running");
+        failure = makeFailure(FailureType::KeyInProgress, "a call with this key is running");
         failure.ran = Ran::Unknown;
         failure.retryAfter = keyInProgressRetryAfter;
         break;
     case ClaimVerdict::Conflict:
-        failure = failureOf(FailureType::KeyConflict, "the key was used for other content");
+        failure = makeFailure(FailureType::KeyConflict, "the key was used for other content");
         break;
     case ClaimVerdict::Undecidable:
-        failure = failureOf(FailureType::KeyInProgress, "a call with this key may have run");
+        failure = makeFailure(FailureType::KeyInProgress, "a call with this key may have run");
         failure.ran = Ran::Unknown;
         break;
     case ClaimVerdict::Unavailable:
-        failure = failureOf(FailureType::ClaimUnavailable, "the call could not be claimed");
+        failure = makeFailure(FailureType::ClaimUnavailable, "the call could not be claimed");
         failure.retryAfter = claimRetryAfter;
         break;
     }
@@ -192,7 +193,7 @@
         return;
     m_permits.stopMonitoring(*open);
     m_recorder.hop(*open, Hop::Queue, open->askedAt, now, open->home.value(), true);
-    failWith(*open, failureOf(refusal), now);
+    failWith(*open, makeFailure(refusal), now);
 }
 
 void EntryRequests::queried(const Base::HostId &home, const PermitQuery &query)
@@ -288,7 +289,7 @@
         m_context.environment.observer.retried(open->key);
         return;
     }
-    Failure failure = failureOf(FailureType::BackendFailed, "the backend server failed");
+    Failure failure = makeFailure(FailureType::BackendFailed, "the backend server failed");
     failure.retryAfter = failed.retryAfter.value_or(backendRetryAfter);
     failWith(*open, failure, now);
 }
@@ -353,7 +354,7 @@
     const bool isSent = open.state == RequestState::Sent;
     if (isSent)
         open.mayHaveRun = true;
-    Failure failure = failureOf(FailureType::DeadlineUnmet, "the deadline passed");
+    Failure failure = makeFailure(FailureType::DeadlineUnmet, "the deadline passed");
     failure.retryAfter = backendRetryAfter;
     if (isSent && open.isClaimed()) {
         if (open.isCallerGone)
@@ -407,8 +408,8 @@
         // A process frozen past its lease wakes here. Nothing more leaves, so it gives up.
         m_permits.release(open, Scheduling::PermitOutcome::NotUsed, now);
         Failure failure = isClaimLost
-                              ? failureOf(FailureType::ClaimUnavailable, "the claim lapsed")
-                              : failureOf(FailureType::NoCapacity, "the backend server is gone");
+                              ? makeFailure(FailureType::ClaimUnavailable, "the claim lapsed")
+                              : makeFailure(FailureType::NoCapacity, "the backend server is gone");
         failure.retryAfter = claimRetryAfter;
         failWith(open, failure, now);
         return;
@@ -432,7 +433,7 @@
 {
     const Base::Result<StoredAnswer> answer = decodeAnswer(stored);
     if (!answer) {
-        Failure failure = failureOf(FailureType::KeyInProgress, "the stored answer is damaged");
+        Failure failure = makeFailure(FailureType::KeyInProgress, "the stored answer is damaged");
         failure.ran = Ran::Unknown;
         failWith(open, failure, now);
         return;
--- a/src/libs/node/failures.cpp
+++ b/src/libs/node/failures.cpp
@@ -4,7 +4,7 @@
 
 namespace Node {
 
-Failure failureOf(FailureType type, std::string message)
+Failure makeFailure(FailureType type, std::string message)
 {
     Failure failure;
     failure.type = type;
@@ -12,11 +12,11 @@
     return failure;
 }
 
-Failure failureOf(const PermitRefusal &refusal)
+Failure makeFailure(const PermitRefusal &refusal)
 {
     using Scheduling::RefusalReason;
     const auto with = [&](FailureType type, const char *message) {
-        Failure failure = failureOf(type, message);
+        Failure failure = makeFailure(type, message);
         failure.retryAfter = refusal.retryAfter;
         return failure;
     };
--- a/src/libs/node/failures.h
+++ b/src/libs/node/failures.h
@@ -8,8 +8,8 @@
 namespace Node {
 
 /// A failure after which nothing ran.
-Failure failureOf(FailureType type, std::string message);
+Failure makeFailure(FailureType type, std::string message);
 /// What the caller is told when its home turned it away.
-Failure failureOf(const PermitRefusal &refusal);
+Failure makeFailure(const PermitRefusal &refusal);
 
 } // namespace Node
