--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -17,7 +17,7 @@
 bool isSilent(const OpenRequest &open, Base::TimePoint now)
 {
     return open.state == RequestState::Sent && !open.isBlocked
-           && now - open.heardAt >= backendIdleTimeout;
+           && now - open.lastResponseAt >= backendIdleTimeout;
 }
 
 } // namespace
@@ -78,7 +78,7 @@
         return;
     }
     m_budget.recordFirstAttempt();
-    if (!added.isClaimed()) {
+    if (!added.needsClaim()) {
         askPermit(added, now);
         return;
     }
@@ -95,7 +95,7 @@
     OpenRequest &open = m_open.at(byCaller->second);
     // Work that must not be repeated runs to its end once it is sent: cancelled half-way, its
     // key could never be answered for again.
-    if (open.isClaimed() && open.state == RequestState::Sent) {
+    if (open.needsClaim() && open.state == RequestState::Sent) {
         open.isCallerGone = true;
         return;
     }
@@ -122,7 +122,7 @@
         return;
     OpenRequest &open = m_open.at(it->second);
     open.isBlocked = false;
-    open.heardAt = now;
+    open.lastResponseAt = now;
     m_context.environment.backends.resume(open.attemptId());
 }
 
@@ -176,7 +176,7 @@
     const bool isKnown = m_context.directory.server(grant.server) != nullptr;
     if (open && open->state == RequestState::Waiting && isKnown) {
         m_permits.accept(*open, home, grant);
-        m_recorder.hop(*open, Hop::Queue, open->askedAt, now, home.value(), false);
+        m_recorder.hop(*open, Hop::Queue, open->permitRequestedAt, now, home.value(), false);
         send(*open, now);
         return;
     }
@@ -192,7 +192,7 @@
     if (!open || open->state != RequestState::Waiting)
         return;
     m_permits.stopMonitoring(*open);
-    m_recorder.hop(*open, Hop::Queue, open->askedAt, now, open->home.value(), true);
+    m_recorder.hop(*open, Hop::Queue, open->permitRequestedAt, now, open->home.value(), true);
     failWith(*open, makeFailure(refusal), now);
 }
 
@@ -212,7 +212,7 @@
     OpenRequest *open = find(head.attempt);
     if (!open || open->state != RequestState::Sent)
         return;
-    open->heardAt = now;
+    open->lastResponseAt = now;
     open->streamName = head.streamName;
     if (open->isAnswerStarted)
         return;
@@ -222,10 +222,10 @@
     answer.status = head.status;
     answer.contentType = head.contentType;
     answer.isEventStream = open->asked.kind == WorkKind::ChatCompletion;
-    if (open->isClaimed()) {
-        open->stored.status = answer.status;
-        open->stored.contentType = answer.contentType;
-        open->stored.isEventStream = answer.isEventStream;
+    if (open->needsClaim()) {
+        open->storedAnswer.status = answer.status;
+        open->storedAnswer.contentType = answer.contentType;
+        open->storedAnswer.isEventStream = answer.isEventStream;
     }
     if (!open->isCallerGone)
         m_context.environment.callers.startAnswer(open->asked.caller, answer);
@@ -238,7 +238,7 @@
     if (!open || open->state != RequestState::Sent || part.index != open->nextPart)
         return;
     ++open->nextPart;
-    open->heardAt = now;
+    open->lastResponseAt = now;
     if (!open->hasFirstPart) {
         open->hasFirstPart = true;
         open->firstPartAt = now;
@@ -246,8 +246,8 @@
     open->received += part.units;
     if (open->received - open->charged >= m_context.settings.chargeStep)
         m_permits.charge(*open);
-    if (open->isClaimed())
-        open->stored.parts.push_back(part.payload);
+    if (open->needsClaim())
+        open->storedAnswer.parts.push_back(part.payload);
     if (!open->isCallerGone)
         m_context.environment.callers.appendAnswer(open->asked.caller, {part.payload});
 }
@@ -263,8 +263,8 @@
     }
     m_recorder.hop(*open, Hop::Backend, open->sentAt, now, open->server.value(), false);
     m_permits.release(*open, Scheduling::PermitOutcome::Completed, now);
-    if (open->isClaimed())
-        m_context.claims.complete(open->key, encodeAnswer(open->stored), now);
+    if (open->needsClaim())
+        m_context.claims.complete(open->key, encodeAnswer(open->storedAnswer), now);
     if (!open->isCallerGone)
         m_context.environment.callers.finishAnswer(open->asked.caller);
     m_recorder.end(*open, nullptr, now);
@@ -280,9 +280,9 @@
         open->mayHaveRun = true;
     m_recorder.hop(*open, Hop::Backend, open->sentAt, now, open->server.value(), true);
     const Scheduling::RetryDecision decision = decide(*open, failed, now);
-    open->state = RequestState::Pausing;
-    open->nextStep = decision.step;
-    open->nextStepAt = now + decision.after;
+    open->state = RequestState::BackingOff;
+    open->nextRetryStep = decision.step;
+    open->nextRetryStepAt = now + decision.after;
     if (decision.step != Scheduling::RetryStep::ResumeStream)
         m_permits.release(*open, Scheduling::PermitOutcome::Failed, now);
     if (decision.step != Scheduling::RetryStep::GiveUp) {
@@ -325,7 +325,7 @@
             late.push_back(key);
         else if (isSilent(open, now))
             silent.push_back(open.attemptId());
-        else if (open.state == RequestState::Pausing && now >= open.nextStepAt)
+        else if (open.state == RequestState::BackingOff && now >= open.nextRetryStepAt)
             rested.push_back(key);
     }
     for (const Base::RequestKey &key : late)
@@ -340,7 +340,7 @@
 
 void EntryRequests::takeNextStep(OpenRequest &open, Base::TimePoint now)
 {
-    if (open.nextStep == Scheduling::RetryStep::Retry) {
+    if (open.nextRetryStep == Scheduling::RetryStep::Retry) {
         askPermit(open, now);
         return;
     }
@@ -356,7 +356,7 @@
         open.mayHaveRun = true;
     Failure failure = makeFailure(FailureType::DeadlineUnmet, "the deadline passed");
     failure.retryAfter = backendRetryAfter;
-    if (isSent && open.isClaimed()) {
+    if (isSent && open.needsClaim()) {
         if (open.isCallerGone)
             return;
         open.isCallerGone = true;
@@ -403,7 +403,7 @@
 void EntryRequests::send(OpenRequest &open, Base::TimePoint now)
 {
     const Server *server = m_context.directory.server(open.server);
-    const bool isClaimLost = open.isClaimed() && !m_context.claims.maySend(open.key, now);
+    const bool isClaimLost = open.needsClaim() && !m_context.claims.maySend(open.key, now);
     if (!server || isClaimLost) {
         // A process frozen past its lease wakes here. Nothing more leaves, so it gives up.
         m_permits.release(open, Scheduling::PermitOutcome::NotUsed, now);
@@ -416,7 +416,7 @@
     }
     open.state = RequestState::Sent;
     open.sentAt = now;
-    open.heardAt = now;
+    open.lastResponseAt = now;
     m_context.environment.backends.send(backendRequest(open, *server));
 }
 
@@ -429,9 +429,9 @@
                                 m_context.environment.random);
 }
 
-void EntryRequests::replay(OpenRequest &open, const std::string &stored, Base::TimePoint now)
+void EntryRequests::replay(OpenRequest &open, const std::string &storedAnswer, Base::TimePoint now)
 {
-    const Base::Result<StoredAnswer> answer = decodeAnswer(stored);
+    const Base::Result<StoredAnswer> answer = decodeAnswer(storedAnswer);
     if (!answer) {
         Failure failure = makeFailure(FailureType::KeyInProgress, "the stored answer is damaged");
         failure.ran = Ran::Unknown;
@@ -462,7 +462,7 @@
 
 void EntryRequests::settleClaim(const OpenRequest &open, Base::TimePoint now)
 {
-    if (!open.isClaimed())
+    if (!open.needsClaim())
         return;
     if (open.mayHaveRun)
         m_context.claims.abandon(open.key);
--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -86,7 +86,7 @@
     Scheduling::RetryDecision decide(const OpenRequest &open, const BackendFailed &failed,
                                      Base::TimePoint now);
     void takeNextStep(OpenRequest &open, Base::TimePoint now);
-    void replay(OpenRequest &open, const std::string &stored, Base::TimePoint now);
+    void replay(OpenRequest &open, const std::string &storedAnswer, Base::TimePoint now);
     void failWith(OpenRequest &open, Failure failure, Base::TimePoint now);
     void passDeadline(OpenRequest &open, Base::TimePoint now);
     /// Takes the work back from its home or its backend server.
--- a/src/libs/node/openrequest.h
+++ b/src/libs/node/openrequest.h
@@ -13,10 +13,10 @@
 namespace Node {
 
 enum class RequestState {
-    Claiming, ///< Waits for its claim in the table.
-    Waiting,  ///< Waits for a permit.
-    Sent,     ///< On its way to, or running at, a backend server.
-    Pausing,  ///< Failed, and waits before the next attempt.
+    Claiming,   ///< Waits for its claim in the table.
+    Waiting,    ///< Waits for a permit.
+    Sent,       ///< On its way to, or running at, a backend server.
+    BackingOff, ///< Failed, and waits before the next attempt.
 };
 
 /// A caller's request that has no final answer yet, at its entry host.
@@ -42,16 +42,16 @@
     /// The attempt that the permit in hand was given for. A stream that is resumed keeps it.
     AttemptId permit;
     /// While Pausing: what comes next, and when.
-    Scheduling::RetryStep nextStep = Scheduling::RetryStep::GiveUp;
-    Base::TimePoint nextStepAt;
+    Scheduling::RetryStep nextRetryStep = Scheduling::RetryStep::GiveUp;
+    Base::TimePoint nextRetryStepAt;
     /// Fencing number of the claim; 0 if there is none.
     std::uint64_t fence = 0;
 
     Base::TimePoint arrivedAt;
-    Base::TimePoint askedAt;
+    Base::TimePoint permitRequestedAt;
     Base::TimePoint sentAt;
     /// When the backend server last said anything.
-    Base::TimePoint heardAt;
+    Base::TimePoint lastResponseAt;
     Base::TimePoint firstPartAt;
     bool hasFirstPart = false;
     bool isAnswerStarted = false;
@@ -66,14 +66,14 @@
     /// Received under earlier permits.
     Base::ServiceUnits receivedBefore = 0;
     /// Of work that is not repeatable: kept for a repeat of the call.
-    StoredAnswer stored;
+    StoredAnswer storedAnswer;
 
-    bool isClaimed() const { return !asked.isRepeatable; }
+    bool needsClaim() const { return !asked.isRepeatable; }
     AttemptId attemptId() const { return {key, attempt}; }
     bool holdsPermit() const
     {
-        const bool isResuming =
-            state == RequestState::Pausing && nextStep == Scheduling::RetryStep::ResumeStream;
+        const bool isResuming = state == RequestState::BackingOff
+                                && nextRetryStep == Scheduling::RetryStep::ResumeStream;
         return state == RequestState::Sent || isResuming;
     }
 };
--- a/src/libs/node/permitclient.cpp
+++ b/src/libs/node/permitclient.cpp
@@ -41,7 +41,7 @@
 
 void PermitClient::ask(OpenRequest &open, Base::TimePoint now)
 {
-    open.askedAt = now;
+    open.permitRequestedAt = now;
     open.shard = chooseShard(open.pool, now);
     waitAt(open, m_context.orders.home(open.pool, open.shard), now);
 }
