--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -87,7 +87,7 @@
                            m_context.environment.wallClock.now());
 }
 
-void EntryRequests::callerGone(CallerId caller, Base::TimePoint now)
+void EntryRequests::handleCallerDisconnected(CallerId caller, Base::TimePoint now)
 {
     const auto byCaller = m_byCaller.find(caller);
     if (byCaller == m_byCaller.end())
@@ -105,7 +105,7 @@
     close(open.key);
 }
 
-void EntryRequests::callerBlocked(CallerId caller)
+void EntryRequests::handleCallerBlocked(CallerId caller)
 {
     const auto it = m_byCaller.find(caller);
     if (it == m_byCaller.end())
@@ -115,7 +115,7 @@
     m_context.environment.backends.pause(open.attemptId());
 }
 
-void EntryRequests::callerReady(CallerId caller, Base::TimePoint now)
+void EntryRequests::handleCallerUnblocked(CallerId caller, Base::TimePoint now)
 {
     const auto it = m_byCaller.find(caller);
     if (it == m_byCaller.end())
@@ -126,7 +126,7 @@
     m_context.environment.backends.resume(open.attemptId());
 }
 
-void EntryRequests::claimDecided(const Claims::ClaimOutcome &outcome, Base::TimePoint now)
+void EntryRequests::handleClaimOutcome(const Claims::ClaimOutcome &outcome, Base::TimePoint now)
 {
     const auto it = m_open.find(outcome.request);
     if (it == m_open.end() || it->second.state != RequestState::Claiming)
@@ -170,7 +170,8 @@
     failWith(open, failure, now);
 }
 
-void EntryRequests::granted(const Base::HostId &home, const PermitGrant &grant, Base::TimePoint now)
+void EntryRequests::handleGrant(const Base::HostId &home, const PermitGrant &grant,
+                                Base::TimePoint now)
 {
     OpenRequest *open = find(grant.attempt);
     const bool isKnown = m_context.directory.server(grant.server) != nullptr;
@@ -186,7 +187,7 @@
         m_permits.decline(home, grant);
 }
 
-void EntryRequests::refused(const PermitRefusal &refusal, Base::TimePoint now)
+void EntryRequests::handleRefusal(const PermitRefusal &refusal, Base::TimePoint now)
 {
     OpenRequest *open = find(refusal.attempt);
     if (!open || open->state != RequestState::Waiting)
@@ -196,7 +197,7 @@
     failWith(*open, makeFailure(refusal), now);
 }
 
-void EntryRequests::queried(const Base::HostId &home, const PermitQuery &query)
+void EntryRequests::handlePermitQuery(const Base::HostId &home, const PermitQuery &query)
 {
     for (const AttemptId &attempt : query.attempts) {
         const auto it = m_open.find(attempt.request);
@@ -207,7 +208,7 @@
     }
 }
 
-void EntryRequests::backendHead(const BackendHead &head, Base::TimePoint now)
+void EntryRequests::handleBackendHead(const BackendHead &head, Base::TimePoint now)
 {
     OpenRequest *open = find(head.attempt);
     if (!open || open->state != RequestState::Sent)
@@ -231,7 +232,7 @@
         m_context.environment.callers.startAnswer(open->asked.caller, answer);
 }
 
-void EntryRequests::backendPart(const BackendPart &part, Base::TimePoint now)
+void EntryRequests::handleBackendPart(const BackendPart &part, Base::TimePoint now)
 {
     OpenRequest *open = find(part.attempt);
     // Late, doubled and crossed parts name another attempt or another place in the stream.
@@ -252,13 +253,13 @@
         m_context.environment.callers.appendAnswer(open->asked.caller, {part.payload});
 }
 
-void EntryRequests::backendFinished(const BackendFinished &finished, Base::TimePoint now)
+void EntryRequests::handleBackendFinished(const BackendFinished &finished, Base::TimePoint now)
 {
     OpenRequest *open = find(finished.attempt);
     if (!open || open->state != RequestState::Sent)
         return;
     if (finished.parts != open->nextPart) {
-        backendFailed({finished.attempt, SendState::MaybeRan, 0, std::nullopt}, now);
+        handleBackendFailed({finished.attempt, SendState::MaybeRan, 0, std::nullopt}, now);
         return;
     }
     m_recorder.hop(*open, Hop::Backend, open->sentAt, now, open->server.value(), false);
@@ -271,7 +272,7 @@
     close(open->key);
 }
 
-void EntryRequests::backendFailed(const BackendFailed &failed, Base::TimePoint now)
+void EntryRequests::handleBackendFailed(const BackendFailed &failed, Base::TimePoint now)
 {
     OpenRequest *open = find(failed.attempt);
     if (!open || open->state != RequestState::Sent)
@@ -332,7 +333,7 @@
         passDeadline(m_open.at(key), now);
     for (const AttemptId &attempt : silent) {
         m_context.environment.backends.cancel(attempt);
-        backendFailed({attempt, SendState::MaybeRan, 0, std::nullopt}, now);
+        handleBackendFailed({attempt, SendState::MaybeRan, 0, std::nullopt}, now);
     }
     for (const Base::RequestKey &key : rested)
         takeNextStep(m_open.at(key), now);
--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -49,19 +49,19 @@
     static Base::Result<std::unique_ptr<EntryRequests>> create(const EntryContext &context);
 
     void open(const CallerRequest &asked, Base::TimePoint now);
-    void callerGone(CallerId caller, Base::TimePoint now);
-    void callerBlocked(CallerId caller);
-    void callerReady(CallerId caller, Base::TimePoint now);
+    void handleCallerDisconnected(CallerId caller, Base::TimePoint now);
+    void handleCallerBlocked(CallerId caller);
+    void handleCallerUnblocked(CallerId caller, Base::TimePoint now);
 
-    void claimDecided(const Claims::ClaimOutcome &outcome, Base::TimePoint now);
-    void granted(const Base::HostId &home, const PermitGrant &grant, Base::TimePoint now);
-    void refused(const PermitRefusal &refusal, Base::TimePoint now);
-    void queried(const Base::HostId &home, const PermitQuery &query);
+    void handleClaimOutcome(const Claims::ClaimOutcome &outcome, Base::TimePoint now);
+    void handleGrant(const Base::HostId &home, const PermitGrant &grant, Base::TimePoint now);
+    void handleRefusal(const PermitRefusal &refusal, Base::TimePoint now);
+    void handlePermitQuery(const Base::HostId &home, const PermitQuery &query);
 
-    void backendHead(const BackendHead &head, Base::TimePoint now);
-    void backendPart(const BackendPart &part, Base::TimePoint now);
-    void backendFinished(const BackendFinished &finished, Base::TimePoint now);
-    void backendFailed(const BackendFailed &failed, Base::TimePoint now);
+    void handleBackendHead(const BackendHead &head, Base::TimePoint now);
+    void handleBackendPart(const BackendPart &part, Base::TimePoint now);
+    void handleBackendFinished(const BackendFinished &finished, Base::TimePoint now);
+    void handleBackendFailed(const BackendFailed &failed, Base::TimePoint now);
 
     /// Compares what waits at \a home with what it says, and mends the difference.
     void reconcile(const Base::HostId &home, const WaitingReply &reply, Base::TimePoint now);
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -155,7 +155,7 @@
 {
     deliverOutcomes(now);
     for (const Claims::ClaimOutcome &outcome : m_claims->takeOutcomes())
-        m_entry->claimDecided(outcome, now);
+        m_entry->handleClaimOutcome(outcome, now);
     answerTargetWrites(now);
     for (const Base::HostId &home : m_entry->takeUnresponsiveHomes())
         m_membership->recordUnreachable(home, now);
@@ -178,17 +178,17 @@
 
 void Node::on(const CallerGone &event, Base::TimePoint now)
 {
-    m_entry->callerGone(event.caller, now);
+    m_entry->handleCallerDisconnected(event.caller, now);
 }
 
 void Node::on(const CallerBlocked &event, Base::TimePoint)
 {
-    m_entry->callerBlocked(event.caller);
+    m_entry->handleCallerBlocked(event.caller);
 }
 
 void Node::on(const CallerReady &event, Base::TimePoint now)
 {
-    m_entry->callerReady(event.caller, now);
+    m_entry->handleCallerUnblocked(event.caller, now);
 }
 
 void Node::on(const EntryHostsAsked &event, Base::TimePoint)
@@ -241,22 +241,22 @@
 
 void Node::on(const BackendHead &event, Base::TimePoint now)
 {
-    m_entry->backendHead(event, now);
+    m_entry->handleBackendHead(event, now);
 }
 
 void Node::on(const BackendPart &event, Base::TimePoint now)
 {
-    m_entry->backendPart(event, now);
+    m_entry->handleBackendPart(event, now);
 }
 
 void Node::on(const BackendFinished &event, Base::TimePoint now)
 {
-    m_entry->backendFinished(event, now);
+    m_entry->handleBackendFinished(event, now);
 }
 
 void Node::on(const BackendFailed &event, Base::TimePoint now)
 {
-    m_entry->backendFailed(event, now);
+    m_entry->handleBackendFailed(event, now);
 }
 
 void Node::on(const BackendLoad &event, Base::TimePoint now)
@@ -308,12 +308,12 @@
 
 void Node::receive(const Base::HostId &from, const PermitGrant &message, Base::TimePoint now)
 {
-    m_entry->granted(from, message, now);
+    m_entry->handleGrant(from, message, now);
 }
 
 void Node::receive(const Base::HostId &, const PermitRefusal &message, Base::TimePoint now)
 {
-    m_entry->refused(message, now);
+    m_entry->handleRefusal(message, now);
 }
 
 void Node::receive(const Base::HostId &, const PermitCancel &message, Base::TimePoint now)
@@ -342,7 +342,7 @@
 
 void Node::receive(const Base::HostId &from, const PermitQuery &message, Base::TimePoint)
 {
-    m_entry->queried(from, message);
+    m_entry->handlePermitQuery(from, message);
 }
 
 void Node::receive(const Base::HostId &from, const WaitingDigest &message, Base::TimePoint)
