--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -14,7 +14,7 @@
 
 /// Guards against a frozen backend server, whose connection stays open and says nothing: the
 /// caller would wait for ever. A slow caller's stream is silent because it is held back.
-bool isSilent(const OpenRequest &open, Base::TimePoint now)
+bool isBackendIdle(const OpenRequest &open, Base::TimePoint now)
 {
     return open.state == RequestState::Sent && !open.isBlocked
            && now - open.lastResponseAt >= backendIdleTimeout;
@@ -79,7 +79,7 @@
     }
     m_budget.recordFirstAttempt();
     if (!added.needsClaim()) {
-        askPermit(added, now);
+        startAttempt(added, now);
         return;
     }
     added.state = RequestState::Claiming;
@@ -99,7 +99,7 @@
         open.isCallerGone = true;
         return;
     }
-    dropWork(open, now);
+    cancelWork(open, now);
     settleClaim(open, now);
     m_recorder.end(open, nullptr, now);
     close(open.key);
@@ -140,7 +140,7 @@
     switch (outcome.verdict) {
     case ClaimVerdict::Claimed:
         open.fence = outcome.fence;
-        askPermit(open, now);
+        startAttempt(open, now);
         return;
     case ClaimVerdict::Completed:
         replay(open, outcome.answer, now);
@@ -280,7 +280,7 @@
     if (failed.sent == SendState::MaybeRan)
         open->mayHaveRun = true;
     m_recorder.hop(*open, Hop::Backend, open->sentAt, now, open->server.value(), true);
-    const Scheduling::RetryDecision decision = decide(*open, failed, now);
+    const Scheduling::RetryDecision decision = decideRetry(*open, failed, now);
     open->state = RequestState::BackingOff;
     open->nextRetryStep = decision.step;
     open->nextRetryStepAt = now + decision.after;
@@ -318,38 +318,38 @@
     if (now < m_nextCheck)
         return;
     m_nextCheck = now + openRequestCheckInterval;
-    std::vector<Base::RequestKey> late;
-    std::vector<AttemptId> silent;
-    std::vector<Base::RequestKey> rested;
+    std::vector<Base::RequestKey> expired;
+    std::vector<AttemptId> idle;
+    std::vector<Base::RequestKey> due;
     for (const auto &[key, open] : m_open) {
         if (open.asked.deadline && now - open.arrivedAt >= *open.asked.deadline)
-            late.push_back(key);
-        else if (isSilent(open, now))
-            silent.push_back(open.attemptId());
+            expired.push_back(key);
+        else if (isBackendIdle(open, now))
+            idle.push_back(open.attemptId());
         else if (open.state == RequestState::BackingOff && now >= open.nextRetryStepAt)
-            rested.push_back(key);
+            due.push_back(key);
     }
-    for (const Base::RequestKey &key : late)
-        passDeadline(m_open.at(key), now);
-    for (const AttemptId &attempt : silent) {
+    for (const Base::RequestKey &key : expired)
+        expire(m_open.at(key), now);
+    for (const AttemptId &attempt : idle) {
         m_context.environment.backends.cancel(attempt);
         handleBackendFailed({attempt, SendState::MaybeRan, 0, std::nullopt}, now);
     }
-    for (const Base::RequestKey &key : rested)
-        takeNextStep(m_open.at(key), now);
+    for (const Base::RequestKey &key : due)
+        runNextRetryStep(m_open.at(key), now);
 }
 
-void EntryRequests::takeNextStep(OpenRequest &open, Base::TimePoint now)
+void EntryRequests::runNextRetryStep(OpenRequest &open, Base::TimePoint now)
 {
     if (open.nextRetryStep == Scheduling::RetryStep::Retry) {
-        askPermit(open, now);
+        startAttempt(open, now);
         return;
     }
     ++open.attempt;
     send(open, now);
 }
 
-void EntryRequests::passDeadline(OpenRequest &open, Base::TimePoint now)
+void EntryRequests::expire(OpenRequest &open, Base::TimePoint now)
 {
     // Work that must not be repeated runs to its end once it is sent; only its caller is told.
     const bool isSent = open.state == RequestState::Sent;
@@ -366,11 +366,11 @@
         m_context.environment.callers.fail(open.asked.caller, failure);
         return;
     }
-    dropWork(open, now);
+    cancelWork(open, now);
     failWith(open, failure, now);
 }
 
-void EntryRequests::dropWork(OpenRequest &open, Base::TimePoint now)
+void EntryRequests::cancelWork(OpenRequest &open, Base::TimePoint now)
 {
     if (open.state == RequestState::Waiting)
         m_permits.withdraw(open);
@@ -394,7 +394,7 @@
     return &it->second;
 }
 
-void EntryRequests::askPermit(OpenRequest &open, Base::TimePoint now)
+void EntryRequests::startAttempt(OpenRequest &open, Base::TimePoint now)
 {
     ++open.attempt;
     open.state = RequestState::Waiting;
@@ -421,8 +421,9 @@
     m_context.environment.backends.send(backendRequest(open, *server));
 }
 
-Scheduling::RetryDecision EntryRequests::decide(const OpenRequest &open,
-                                                const BackendFailed &failed, Base::TimePoint now)
+Scheduling::RetryDecision EntryRequests::decideRetry(const OpenRequest &open,
+                                                     const BackendFailed &failed,
+                                                     Base::TimePoint now)
 {
     if (open.isCallerGone)
         return {};
--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -81,16 +81,16 @@
 
     Base::RequestKey newKey();
     OpenRequest *find(const AttemptId &attempt);
-    void askPermit(OpenRequest &open, Base::TimePoint now);
+    void startAttempt(OpenRequest &open, Base::TimePoint now);
     void send(OpenRequest &open, Base::TimePoint now);
-    Scheduling::RetryDecision decide(const OpenRequest &open, const BackendFailed &failed,
-                                     Base::TimePoint now);
-    void takeNextStep(OpenRequest &open, Base::TimePoint now);
+    Scheduling::RetryDecision decideRetry(const OpenRequest &open, const BackendFailed &failed,
+                                          Base::TimePoint now);
+    void runNextRetryStep(OpenRequest &open, Base::TimePoint now);
     void replay(OpenRequest &open, const std::string &storedAnswer, Base::TimePoint now);
     void failWith(OpenRequest &open, Failure failure, Base::TimePoint now);
-    void passDeadline(OpenRequest &open, Base::TimePoint now);
+    void expire(OpenRequest &open, Base::TimePoint now);
     /// Takes the work back from its home or its backend server.
-    void dropWork(OpenRequest &open, Base::TimePoint now);
+    void cancelWork(OpenRequest &open, Base::TimePoint now);
     void settleClaim(const OpenRequest &open, Base::TimePoint now);
     void close(const Base::RequestKey &key);
 
