--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -176,7 +176,7 @@
     OpenRequest *open = find(grant.attempt);
     const bool isKnown = m_context.directory.server(grant.server) != nullptr;
     if (open && open->state == RequestState::Waiting && isKnown) {
-        m_permits.accept(*open, home, grant);
+        m_permits.acceptGrant(*open, home, grant);
         m_recorder.hop(*open, Hop::Queue, open->permitRequestedAt, now, home.value(), false);
         send(*open, now);
         return;
@@ -184,7 +184,7 @@
     const bool isInUse = open && open->holdsPermit() && open->permit == grant.attempt
                          && open->home == home && open->server == grant.server;
     if (!isInUse)
-        m_permits.decline(home, grant);
+        m_permits.declineGrant(home, grant);
 }
 
 void EntryRequests::handleRefusal(const PermitRefusal &refusal, Base::TimePoint now)
@@ -204,7 +204,7 @@
         const bool isInUse =
             it != m_open.end() && it->second.holdsPermit() && it->second.permit == attempt;
         if (!isInUse)
-            m_permits.disown(attempt, home, query.pool, query.shard);
+            m_permits.answerPermitQuery(attempt, home, query.pool, query.shard);
     }
 }
 
@@ -295,10 +295,10 @@
     failWith(*open, failure, now);
 }
 
-void EntryRequests::rehome(Base::TimePoint now)
+void EntryRequests::moveToCurrentHome(Base::TimePoint now)
 {
     for (auto &[key, open] : m_open)
-        m_permits.rehome(open, now);
+        m_permits.moveToCurrentHome(open, now);
 }
 
 void EntryRequests::reconcile(const Base::HostId &home, const WaitingReply &reply,
@@ -308,7 +308,7 @@
     for (const AttemptId &attempt : difference.missing) {
         const OpenRequest *open = find(attempt);
         if (open && open->state == RequestState::Waiting)
-            m_permits.repeat(*open, home, now);
+            m_permits.resendRequest(*open, home, now);
     }
 }
 
@@ -373,7 +373,7 @@
 void EntryRequests::cancelWork(OpenRequest &open, Base::TimePoint now)
 {
     if (open.state == RequestState::Waiting)
-        m_permits.withdraw(open);
+        m_permits.cancelPermitRequest(open);
     if (open.state == RequestState::Sent)
         m_context.environment.backends.cancel(open.attemptId());
     if (open.holdsPermit())
@@ -398,7 +398,7 @@
 {
     ++open.attempt;
     open.state = RequestState::Waiting;
-    m_permits.ask(open, now);
+    m_permits.requestPermit(open, now);
 }
 
 void EntryRequests::send(OpenRequest &open, Base::TimePoint now)
--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -67,7 +67,7 @@
     void reconcile(const Base::HostId &home, const WaitingReply &reply, Base::TimePoint now);
     std::vector<Base::HostId> takeUnresponsiveHomes() { return m_permits.takeUnresponsiveHomes(); }
     /// The set of usable routers changed: asks new homes, tells them of permits in use.
-    void rehome(Base::TimePoint now);
+    void moveToCurrentHome(Base::TimePoint now);
     void advance(Base::TimePoint now);
 
     /// Text for an answer to a request that does not go to a backend server.
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -401,7 +401,7 @@
     m_configuration->setPolling(m_membership->zonePoller() == m_settings.self.host);
     m_table->setFleetSize(m_membership->usableRouters().size());
     m_homes->refresh(now);
-    m_entry->rehome(now);
+    m_entry->moveToCurrentHome(now);
 }
 
 void Node::sendHeartbeats(Base::TimePoint now)
--- a/src/libs/node/permitclient.cpp
+++ b/src/libs/node/permitclient.cpp
@@ -18,10 +18,10 @@
 
 /// Of a busy entry host's last seconds: a home asks for a permit three seconds after it heard
 /// of it last.
-constexpr std::size_t rememberedReleases = 1000;
+constexpr std::size_t maxRememberedReleases = 1000;
 
-PermitRelease unused(const AttemptId &attempt, const Base::PoolId &pool, std::uint32_t shard,
-                     const Base::ServerId &server)
+PermitRelease unusedRelease(const AttemptId &attempt, const Base::PoolId &pool, std::uint32_t shard,
+                            const Base::ServerId &server)
 {
     PermitRelease release;
     release.attempt = attempt;
@@ -39,14 +39,14 @@
     , m_monitor(context.settings.homeMonitor)
 {}
 
-void PermitClient::ask(OpenRequest &open, Base::TimePoint now)
+void PermitClient::requestPermit(OpenRequest &open, Base::TimePoint now)
 {
     open.permitRequestedAt = now;
     open.shard = chooseShard(open.pool, now);
-    waitAt(open, m_context.orders.home(open.pool, open.shard), now);
+    waitAtHome(open, m_context.orders.home(open.pool, open.shard), now);
 }
 
-void PermitClient::withdraw(const OpenRequest &open)
+void PermitClient::cancelPermitRequest(const OpenRequest &open)
 {
     stopMonitoring(open);
     m_context.outbox.post(open.home, PermitCancel{open.attemptId(), open.pool, open.shard});
@@ -57,12 +57,13 @@
     m_monitor.remove({open.home, open.pool, open.shard}, open.attemptId());
 }
 
-void PermitClient::accept(OpenRequest &open, const Base::HostId &home, const PermitGrant &grant)
+void PermitClient::acceptGrant(OpenRequest &open, const Base::HostId &home,
+                               const PermitGrant &grant)
 {
     if (open.home == home)
         stopMonitoring(open);
     else
-        withdraw(open);
+        cancelPermitRequest(open);
     open.home = home;
     open.homeIncarnation = incarnationOf(home);
     open.shard = grant.shard;
@@ -70,9 +71,10 @@
     open.permit = grant.attempt;
 }
 
-void PermitClient::decline(const Base::HostId &home, const PermitGrant &grant)
+void PermitClient::declineGrant(const Base::HostId &home, const PermitGrant &grant)
 {
-    m_context.outbox.post(home, unused(grant.attempt, grant.pool, grant.shard, grant.server));
+    m_context.outbox.post(home,
+                          unusedRelease(grant.attempt, grant.pool, grant.shard, grant.server));
 }
 
 void PermitClient::charge(OpenRequest &open)
@@ -98,10 +100,10 @@
     open.receivedBefore += std::exchange(open.received, 0);
     open.charged = 0;
     m_context.outbox.post(open.home, release);
-    remember(release);
+    rememberRelease(release);
 }
 
-void PermitClient::rehome(OpenRequest &open, Base::TimePoint now)
+void PermitClient::moveToCurrentHome(OpenRequest &open, Base::TimePoint now)
 {
     const Base::HostId home = m_context.orders.home(open.pool, open.shard);
     const bool isSame = home == open.home && incarnationOf(home) == open.homeIncarnation;
@@ -111,8 +113,8 @@
         if (home == open.home)
             stopMonitoring(open);
         else
-            withdraw(open);
-        waitAt(open, home, now);
+            cancelPermitRequest(open);
+        waitAtHome(open, home, now);
         return;
     }
     if (!open.holdsPermit())
@@ -131,27 +133,28 @@
     return difference;
 }
 
-void PermitClient::repeat(const OpenRequest &open, const Base::HostId &home, Base::TimePoint now)
+void PermitClient::resendRequest(const OpenRequest &open, const Base::HostId &home,
+                                 Base::TimePoint now)
 {
-    m_context.outbox.post(home, permitRequest(open, now));
+    m_context.outbox.post(home, makePermitRequest(open, now));
 }
 
-void PermitClient::disown(const AttemptId &attempt, const Base::HostId &home,
-                          const Base::PoolId &pool, std::uint32_t shard)
+void PermitClient::answerPermitQuery(const AttemptId &attempt, const Base::HostId &home,
+                                     const Base::PoolId &pool, std::uint32_t shard)
 {
     // The release was lost: the same again, so that its service is counted.
     const auto it = std::find_if(m_released.begin(), m_released.end(),
                                  [&](const PermitRelease &it) { return it.attempt == attempt; });
     if (it == m_released.end())
-        m_context.outbox.post(home, unused(attempt, pool, shard, {}));
+        m_context.outbox.post(home, unusedRelease(attempt, pool, shard, {}));
     else
         m_context.outbox.post(home, *it);
 }
 
-void PermitClient::remember(const PermitRelease &release)
+void PermitClient::rememberRelease(const PermitRelease &release)
 {
     m_released.push_back(release);
-    if (m_released.size() > rememberedReleases)
+    if (m_released.size() > maxRememberedReleases)
         m_released.pop_front();
 }
 
@@ -175,15 +178,15 @@
     return it->second.choose(m_context.homes.shards(pool, now), m_context.environment.random);
 }
 
-void PermitClient::waitAt(OpenRequest &open, const Base::HostId &home, Base::TimePoint now)
+void PermitClient::waitAtHome(OpenRequest &open, const Base::HostId &home, Base::TimePoint now)
 {
     open.home = home;
     open.homeIncarnation = incarnationOf(home);
     m_monitor.add({home, open.pool, open.shard}, open.attemptId(), now);
-    m_context.outbox.post(home, permitRequest(open, now));
+    m_context.outbox.post(home, makePermitRequest(open, now));
 }
 
-PermitRequest PermitClient::permitRequest(const OpenRequest &open, Base::TimePoint now) const
+PermitRequest PermitClient::makePermitRequest(const OpenRequest &open, Base::TimePoint now) const
 {
     PermitRequest request;
     request.attempt = open.attemptId();
--- a/src/libs/node/permitclient.h
+++ b/src/libs/node/permitclient.h
@@ -39,37 +39,37 @@
     explicit PermitClient(const PermitContext &context);
 
     /// Asks for a permit for the request's current attempt.
-    void ask(OpenRequest &open, Base::TimePoint now);
+    void requestPermit(OpenRequest &open, Base::TimePoint now);
     /// Takes the ask back.
-    void withdraw(const OpenRequest &open);
+    void cancelPermitRequest(const OpenRequest &open);
     /// The home has answered for good.
     void stopMonitoring(const OpenRequest &open);
     /// Takes a grant, also from a home that the work was handed to.
-    void accept(OpenRequest &open, const Base::HostId &home, const PermitGrant &grant);
+    void acceptGrant(OpenRequest &open, const Base::HostId &home, const PermitGrant &grant);
     /// Gives back at once a permit that nobody wants, so that its slot does not idle.
-    void decline(const Base::HostId &home, const PermitGrant &grant);
+    void declineGrant(const Base::HostId &home, const PermitGrant &grant);
     /// Reports service received while the permit is in use.
     void charge(OpenRequest &open);
     void release(OpenRequest &open, Scheduling::PermitOutcome outcome, Base::TimePoint now);
 
     /// The usable routers changed: a waiting request asks the new home, a permit in use is told
     /// to it.
-    void rehome(OpenRequest &open, Base::TimePoint now);
+    void moveToCurrentHome(OpenRequest &open, Base::TimePoint now);
     HomeMonitor::Difference compare(const Base::HostId &home, const WaitingReply &reply);
     /// Asks again at \a home, which does not know of the ask.
-    void repeat(const OpenRequest &open, const Base::HostId &home, Base::TimePoint now);
+    void resendRequest(const OpenRequest &open, const Base::HostId &home, Base::TimePoint now);
     /// A permit that \a home believes to be in use is not.
-    void disown(const AttemptId &attempt, const Base::HostId &home, const Base::PoolId &pool,
-                std::uint32_t shard);
+    void answerPermitQuery(const AttemptId &attempt, const Base::HostId &home,
+                           const Base::PoolId &pool, std::uint32_t shard);
     void sendDigests(Base::TimePoint now);
     std::vector<Base::HostId> takeUnresponsiveHomes() { return m_monitor.takeUnresponsiveHomes(); }
 
 private:
     Base::Incarnation incarnationOf(const Base::HostId &host) const;
     std::uint32_t chooseShard(const Base::PoolId &pool, Base::TimePoint now);
-    void waitAt(OpenRequest &open, const Base::HostId &home, Base::TimePoint now);
-    PermitRequest permitRequest(const OpenRequest &open, Base::TimePoint now) const;
-    void remember(const PermitRelease &release);
+    void waitAtHome(OpenRequest &open, const Base::HostId &home, Base::TimePoint now);
+    PermitRequest makePermitRequest(const OpenRequest &open, Base::TimePoint now) const;
+    void rememberRelease(const PermitRelease &release);
 
     PermitContext m_context;
     HomeMonitor m_monitor;
