--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -101,7 +101,7 @@
     }
     cancelWork(open, now);
     settleClaim(open, now);
-    m_recorder.end(open, nullptr, now);
+    m_recorder.recordEnd(open, nullptr, now);
     close(open.key);
 }
 
@@ -133,9 +133,9 @@
         return;
     OpenRequest &open = it->second;
     using Claims::ClaimVerdict;
-    m_recorder.hop(open, Hop::Claim, open.arrivedAt, now, "table",
-                   outcome.verdict != ClaimVerdict::Claimed
-                       && outcome.verdict != ClaimVerdict::Completed);
+    m_recorder.recordHop(open, Hop::Claim, open.arrivedAt, now, "table",
+                         outcome.verdict != ClaimVerdict::Claimed
+                             && outcome.verdict != ClaimVerdict::Completed);
     Failure failure;
     switch (outcome.verdict) {
     case ClaimVerdict::Claimed:
@@ -177,7 +177,7 @@
     const bool isKnown = m_context.directory.server(grant.server) != nullptr;
     if (open && open->state == RequestState::Waiting && isKnown) {
         m_permits.acceptGrant(*open, home, grant);
-        m_recorder.hop(*open, Hop::Queue, open->permitRequestedAt, now, home.value(), false);
+        m_recorder.recordHop(*open, Hop::Queue, open->permitRequestedAt, now, home.value(), false);
         send(*open, now);
         return;
     }
@@ -193,7 +193,7 @@
     if (!open || open->state != RequestState::Waiting)
         return;
     m_permits.stopMonitoring(*open);
-    m_recorder.hop(*open, Hop::Queue, open->permitRequestedAt, now, open->home.value(), true);
+    m_recorder.recordHop(*open, Hop::Queue, open->permitRequestedAt, now, open->home.value(), true);
     failWith(*open, makeFailure(refusal), now);
 }
 
@@ -262,13 +262,13 @@
         handleBackendFailed({finished.attempt, SendState::MaybeRan, 0, std::nullopt}, now);
         return;
     }
-    m_recorder.hop(*open, Hop::Backend, open->sentAt, now, open->server.value(), false);
+    m_recorder.recordHop(*open, Hop::Backend, open->sentAt, now, open->server.value(), false);
     m_permits.release(*open, Scheduling::PermitOutcome::Completed, now);
     if (open->needsClaim())
         m_context.claims.complete(open->key, encodeAnswer(open->storedAnswer), now);
     if (!open->isCallerGone)
         m_context.environment.callers.finishAnswer(open->asked.caller);
-    m_recorder.end(*open, nullptr, now);
+    m_recorder.recordEnd(*open, nullptr, now);
     close(open->key);
 }
 
@@ -279,7 +279,7 @@
         return;
     if (failed.sent == SendState::MaybeRan)
         open->mayHaveRun = true;
-    m_recorder.hop(*open, Hop::Backend, open->sentAt, now, open->server.value(), true);
+    m_recorder.recordHop(*open, Hop::Backend, open->sentAt, now, open->server.value(), true);
     const Scheduling::RetryDecision decision = decideRetry(*open, failed, now);
     open->state = RequestState::BackingOff;
     open->nextRetryStep = decision.step;
@@ -446,7 +446,7 @@
     for (const std::string &part : answer->parts)
         callers.appendAnswer(open.asked.caller, {part});
     callers.finishAnswer(open.asked.caller);
-    m_recorder.end(open, nullptr, now);
+    m_recorder.recordEnd(open, nullptr, now);
     close(open.key);
 }
 
@@ -458,7 +458,7 @@
     settleClaim(open, now);
     if (!open.isCallerGone)
         m_context.environment.callers.fail(open.asked.caller, failure);
-    m_recorder.end(open, &failure, now);
+    m_recorder.recordEnd(open, &failure, now);
     close(open.key);
 }
 
--- a/src/libs/node/requestrecorder.cpp
+++ b/src/libs/node/requestrecorder.cpp
@@ -7,15 +7,16 @@
     , m_self(self)
 {}
 
-void RequestRecorder::hop(const OpenRequest &open, Hop hop, Base::TimePoint begin,
-                          Base::TimePoint end, const std::string &place, bool isFailed)
+void RequestRecorder::recordHop(const OpenRequest &open, Hop hop, Base::TimePoint begin,
+                                Base::TimePoint end, const std::string &place, bool isFailed)
 {
     m_observer->hopFinished({open.key, open.asked.traceparent, hop, begin, end, place, isFailed});
 }
 
-void RequestRecorder::end(const OpenRequest &open, const Failure *failure, Base::TimePoint now)
+void RequestRecorder::recordEnd(const OpenRequest &open, const Failure *failure,
+                                Base::TimePoint now)
 {
-    hop(open, Hop::Entry, open.arrivedAt, now, m_self.value(), failure != nullptr);
+    recordHop(open, Hop::Entry, open.arrivedAt, now, m_self.value(), failure != nullptr);
     RequestRecord record;
     record.request = open.key;
     record.customer = open.customer;
--- a/src/libs/node/requestrecorder.h
+++ b/src/libs/node/requestrecorder.h
@@ -15,10 +15,10 @@
 public:
     RequestRecorder(NodeObserver &observer, const Base::HostId &self);
 
-    void hop(const OpenRequest &open, Hop hop, Base::TimePoint begin, Base::TimePoint end,
-             const std::string &place, bool isFailed);
+    void recordHop(const OpenRequest &open, Hop hop, Base::TimePoint begin, Base::TimePoint end,
+                   const std::string &place, bool isFailed);
     /// \a failure is null if the answer came whole or the caller left.
-    void end(const OpenRequest &open, const Failure *failure, Base::TimePoint now);
+    void recordEnd(const OpenRequest &open, const Failure *failure, Base::TimePoint now);
 
 private:
     NodeObserver *m_observer;
