--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -337,7 +337,7 @@
 void Node::receive(const Base::HostId &from, const PermitHeld &message, Base::TimePoint now)
 {
     if (PoolHome *pool = m_homes->home(message.pool, message.shard))
-        pool->adopt(from, message, now);
+        pool->adoptPermit(from, message, now);
 }
 
 void Node::receive(const Base::HostId &from, const PermitQuery &message, Base::TimePoint)
--- a/src/libs/node/poolhome.cpp
+++ b/src/libs/node/poolhome.cpp
@@ -13,15 +13,15 @@
 /// A customer sets the floor once it has waited this long. Customers that ask for little come
 /// and go at the floor; if they set it, it would stand still while all others move on, and the
 /// clamp on debts would make those equal.
-constexpr Base::Duration standingAfter = std::chrono::seconds(2);
-constexpr Base::Duration standingCheckInterval = std::chrono::milliseconds(250);
+constexpr Base::Duration persistentBacklogAge = std::chrono::seconds(2);
+constexpr Base::Duration backlogCheckInterval = std::chrono::milliseconds(250);
 
 Base::Milliseconds toMilliseconds(Base::Duration duration)
 {
     return std::chrono::duration_cast<Base::Milliseconds>(duration);
 }
 
-Scheduling::WaitingWork toWork(const PermitRequest &request, Base::TimePoint now)
+Scheduling::WaitingWork toWaitingWork(const PermitRequest &request, Base::TimePoint now)
 {
     Scheduling::WaitingWork work;
     work.request = request.attempt.request;
@@ -127,9 +127,9 @@
         return;
     // An older attempt whose cancel was lost makes room for this one.
     if (const auto older = m_queue.remove(request.attempt.request))
-        forgetWaiting(*older);
+        removeWaiting(*older);
     m_waitingByEntry[entry].add(request.attempt);
-    const Scheduling::WaitingWork work = toWork(request, now);
+    const Scheduling::WaitingWork work = toWaitingWork(request, now);
     const auto refusal = m_admission.refusalFor(work, poolState(work.customer), now, *m_random);
     if (refusal) {
         refuse(work, *refusal);
@@ -137,7 +137,7 @@
     }
     if (m_queue.waitingCount(work.customer) == 0) {
         const std::optional<Base::CustomerId> least = m_queue.leastServed(*m_ledger);
-        std::vector<Base::CustomerId> others = m_standing;
+        std::vector<Base::CustomerId> others = m_persistentlyBacklogged;
         if (others.empty() && least)
             others.push_back(*least);
         m_ledger->becomeBacklogged(work.customer, others);
@@ -163,7 +163,7 @@
     const auto it = m_permits.find(release.attempt);
     if (it == m_permits.end())
         return;
-    countService(it->second, release.units);
+    recordService(it->second, release.units);
     const auto server = m_servers.find(it->second.server);
     if (server != m_servers.end()) {
         Scheduling::PermitReport report;
@@ -193,10 +193,10 @@
     const auto server = m_servers.find(permit.server);
     if (server != m_servers.end())
         server->second.limiter.recordProgress(now);
-    countService(permit, charge.units);
+    recordService(permit, charge.units);
 }
 
-void PoolHome::countService(Permit &permit, Base::ServiceUnits total)
+void PoolHome::recordService(Permit &permit, Base::ServiceUnits total)
 {
     // A total that is not larger comes from a message that was overtaken or doubled.
     if (total <= permit.served)
@@ -209,7 +209,7 @@
     permit.held -= freed;
 }
 
-void PoolHome::adopt(const Base::HostId &entry, const PermitHeld &held, Base::TimePoint now)
+void PoolHome::adoptPermit(const Base::HostId &entry, const PermitHeld &held, Base::TimePoint now)
 {
     const auto server = m_servers.find(held.server);
     if (server == m_servers.end() || m_permits.count(held.attempt) > 0)
@@ -232,7 +232,7 @@
     dispatch(now);
 }
 
-void PoolHome::forgetEntry(const Base::HostId &entry, Base::TimePoint now)
+void PoolHome::dropEntryHost(const Base::HostId &entry, Base::TimePoint now)
 {
     const auto waiting = m_waitingByEntry.find(entry);
     if (waiting != m_waitingByEntry.end()) {
@@ -250,9 +250,9 @@
 
 void PoolHome::advance(Base::TimePoint now)
 {
-    const std::optional<Base::Duration> typical = typicalFirstToken();
+    const std::optional<Base::Duration> median = medianTimeToFirstToken();
     for (auto &[id, state] : m_servers) {
-        state.limiter.setPeerTimeToFirstToken(typical);
+        state.limiter.setPeerTimeToFirstToken(median);
         state.limiter.advance(state.inUse, now);
     }
     for (const Scheduling::WaitingWork &work : m_queue.takeExpired(now)) {
@@ -260,7 +260,7 @@
                                         poolState(work.customer), *m_random));
     }
     queryPermits(now);
-    noteStanding(now);
+    updatePersistentlyBacklogged(now);
     dispatch(now);
 }
 
@@ -272,7 +272,7 @@
         const std::optional<Scheduling::WaitingWork> work = m_queue.takeNext(*m_ledger, *this, now);
         if (!work)
             break;
-        forgetWaiting(*work);
+        removeWaiting(*work);
         requests.push_back(toRequest(*work, m_pool, to, now));
     }
     return requests;
@@ -281,8 +281,8 @@
 Coordination::PoolSummary PoolHome::summary() const
 {
     std::size_t freePermits = 0;
-    for (const Scheduling::ServerCandidate &choice : freeServers())
-        freePermits += choice.limit - choice.inUse;
+    for (const Scheduling::ServerCandidate &candidate : serversWithFreePermits())
+        freePermits += candidate.limit - candidate.inUse;
     return {m_pool, m_shard, static_cast<std::uint32_t>(m_queue.size()),
             static_cast<std::uint32_t>(freePermits), m_drain.rate(permitLimit())};
 }
@@ -336,12 +336,12 @@
     return used >= claim->second * static_cast<double>(permitLimit());
 }
 
-std::optional<Base::Duration> PoolHome::typicalFirstToken() const
+std::optional<Base::Duration> PoolHome::medianTimeToFirstToken() const
 {
     std::vector<Base::Duration> times;
     for (const auto &[id, state] : m_servers) {
-        if (const auto quickest = state.limiter.minTimeToFirstToken())
-            times.push_back(*quickest);
+        if (const auto minimum = state.limiter.minTimeToFirstToken())
+            times.push_back(*minimum);
     }
     if (times.size() < 2)
         return std::nullopt;
@@ -353,38 +353,38 @@
 void PoolHome::dispatch(Base::TimePoint now)
 {
     while (!m_queue.isEmpty()) {
-        const std::vector<Scheduling::ServerCandidate> choices = freeServers();
-        if (choices.empty())
+        const std::vector<Scheduling::ServerCandidate> candidates = serversWithFreePermits();
+        if (candidates.empty())
             return;
         const std::optional<Scheduling::WaitingWork> work = m_queue.takeNext(*m_ledger, *this, now);
         if (!work)
             return;
-        const std::optional<std::size_t> chosen = m_selector.choose(choices, work->prefix, now);
+        const std::optional<std::size_t> chosen = m_selector.choose(candidates, work->prefix, now);
         if (!chosen) {
             m_queue.push(*work);
             return;
         }
-        grant(*work, choices[*chosen].server, now);
+        grant(*work, candidates[*chosen].server, now);
     }
 }
 
-std::vector<Scheduling::ServerCandidate> PoolHome::freeServers() const
+std::vector<Scheduling::ServerCandidate> PoolHome::serversWithFreePermits() const
 {
-    std::vector<Scheduling::ServerCandidate> choices;
+    std::vector<Scheduling::ServerCandidate> candidates;
     for (const auto &[id, state] : m_servers) {
         const std::size_t limit = state.limiter.limit();
         if (!state.isUsable || state.inUse >= limit)
             continue;
-        choices.push_back({id, state.inUse, limit, state.server.zone == m_settings.self.zone});
+        candidates.push_back({id, state.inUse, limit, state.server.zone == m_settings.self.zone});
     }
-    return choices;
+    return candidates;
 }
 
 void PoolHome::grant(const Scheduling::WaitingWork &work, const Base::ServerId &server,
                      Base::TimePoint now)
 {
     const AttemptId attempt{work.request, work.attempt};
-    forgetWaiting(work);
+    removeWaiting(work);
     const Base::ServiceUnits held = m_holds.hold(work.workClass, work.expectedCost);
     m_permits[attempt] = {
         work.request.entry, server, work.customer, work.workClass, held, work.expectedCost, 0, now};
@@ -429,12 +429,12 @@
 void PoolHome::refuse(const Scheduling::WaitingWork &work,
                       const Scheduling::AdmissionRefusal &refusal)
 {
-    forgetWaiting(work);
+    removeWaiting(work);
     m_outbox->post(work.request.entry,
                    PermitRefusal{{work.request, work.attempt}, refusal.reason, refusal.retryAfter});
 }
 
-void PoolHome::forgetWaiting(const Scheduling::WaitingWork &work)
+void PoolHome::removeWaiting(const Scheduling::WaitingWork &work)
 {
     const auto it = m_waitingByEntry.find(work.request.entry);
     if (it == m_waitingByEntry.end())
@@ -444,19 +444,19 @@
         m_waitingByEntry.erase(it);
 }
 
-void PoolHome::noteStanding(Base::TimePoint now)
+void PoolHome::updatePersistentlyBacklogged(Base::TimePoint now)
 {
-    if (now < m_nextStanding)
+    if (now < m_nextBacklogCheck)
         return;
-    m_nextStanding = now + standingCheckInterval;
+    m_nextBacklogCheck = now + backlogCheckInterval;
     std::erase_if(m_backloggedSince,
                   [&](const auto &entry) { return m_queue.waitingCount(entry.first) == 0; });
-    m_standing.clear();
+    m_persistentlyBacklogged.clear();
     for (const auto &[customer, since] : m_backloggedSince) {
-        if (now - since >= standingAfter)
-            m_standing.push_back(customer);
+        if (now - since >= persistentBacklogAge)
+            m_persistentlyBacklogged.push_back(customer);
     }
-    m_ledger->clampDebts(m_standing);
+    m_ledger->clampDebts(m_persistentlyBacklogged);
 }
 
 WaitingReply PoolHome::compare(const Base::HostId &entry, const WaitingDigest &digest) const
--- a/src/libs/node/poolhome.h
+++ b/src/libs/node/poolhome.h
@@ -58,12 +58,12 @@
     void cancel(const PermitCancel &cancel, Base::TimePoint now);
     void release(const PermitRelease &release, Base::TimePoint now);
     void charge(const ServiceCharge &charge, Base::TimePoint now);
-    void adopt(const Base::HostId &entry, const PermitHeld &held, Base::TimePoint now);
+    void adoptPermit(const Base::HostId &entry, const PermitHeld &held, Base::TimePoint now);
     void recordLoad(const BackendLoad &load, Base::TimePoint now);
     /// What waits here for \a entry, against what it believes.
     WaitingReply compare(const Base::HostId &entry, const WaitingDigest &digest) const;
     /// \a entry is gone, and with it all that waited for it or ran under it.
-    void forgetEntry(const Base::HostId &entry, Base::TimePoint now);
+    void dropEntryHost(const Base::HostId &entry, Base::TimePoint now);
     void advance(Base::TimePoint now);
     /// Takes at most \a count of the work next in order, as requests to shard \a to.
     std::vector<PermitRequest> takeForHandover(std::size_t count, std::uint32_t to,
@@ -107,19 +107,19 @@
 
     bool isOverClaim(const Base::ClassId &workClass) const override;
     /// Median of the servers' quickest first tokens; empty with fewer than two servers.
-    std::optional<Base::Duration> typicalFirstToken() const;
+    std::optional<Base::Duration> medianTimeToFirstToken() const;
     void dispatch(Base::TimePoint now);
-    std::vector<Scheduling::ServerCandidate> freeServers() const;
+    std::vector<Scheduling::ServerCandidate> serversWithFreePermits() const;
     void grant(const Scheduling::WaitingWork &work, const Base::ServerId &server,
                Base::TimePoint now);
     void endPermit(std::map<AttemptId, Permit>::iterator it);
     Scheduling::PoolState poolState(const Base::CustomerId &customer) const;
     void refuse(const Scheduling::WaitingWork &work, const Scheduling::AdmissionRefusal &refusal);
-    void forgetWaiting(const Scheduling::WaitingWork &work);
+    void removeWaiting(const Scheduling::WaitingWork &work);
     /// Charges what \a total, all service under the permit, adds to what is known.
-    void countService(Permit &permit, Base::ServiceUnits total);
+    void recordService(Permit &permit, Base::ServiceUnits total);
     /// Finds the customers that set the floor, and clamps debts against it.
-    void noteStanding(Base::TimePoint now);
+    void updatePersistentlyBacklogged(Base::TimePoint now);
     /// Asks entry hosts for permits long unheard of: their release may have been lost.
     void queryPermits(Base::TimePoint now);
 
@@ -139,8 +139,8 @@
     /// Since when each customer has had work waiting.
     std::map<Base::CustomerId, Base::TimePoint> m_backloggedSince;
     /// The customers that have had work waiting for a while.
-    std::vector<Base::CustomerId> m_standing;
-    Base::TimePoint m_nextStanding{};
+    std::vector<Base::CustomerId> m_persistentlyBacklogged;
+    Base::TimePoint m_nextBacklogCheck{};
     std::map<Base::ClassId, double> m_claims;
     std::map<Base::ClassId, std::size_t> m_inUseByClass;
     Scheduling::DrainEstimator m_drain;
--- a/src/libs/node/poolhomes.cpp
+++ b/src/libs/node/poolhomes.cpp
@@ -85,7 +85,7 @@
 {
     for (auto &[key, home] : m_homes)
         home->setServers(m_context.directory.usable(key.first, key.second));
-    forgetLostEntries(now);
+    dropLostEntryHosts(now);
     dropUnused();
 }
 
@@ -225,7 +225,7 @@
     return m_context.orders.order(pool, shard);
 }
 
-void PoolHomes::forgetLostEntries(Base::TimePoint now)
+void PoolHomes::dropLostEntryHosts(Base::TimePoint now)
 {
     for (const auto &[host, member] : m_context.membership.others()) {
         const Base::Incarnation served = m_entryIncarnations[host];
@@ -234,7 +234,7 @@
         if (member.isAlive && !isRestarted)
             continue;
         for (auto &[key, home] : m_homes)
-            home->forgetEntry(host, now);
+            home->dropEntryHost(host, now);
     }
 }
 
--- a/src/libs/node/poolhomes.h
+++ b/src/libs/node/poolhomes.h
@@ -73,7 +73,7 @@
 private:
     Coordination::ServiceLedger *ledger(const Base::PoolId &pool);
     const std::vector<Base::HostId> &homeOrder(const Base::PoolId &pool, std::uint32_t shard) const;
-    void forgetLostEntries(Base::TimePoint now);
+    void dropLostEntryHosts(Base::TimePoint now);
     void dropUnused();
     void sendLedgers(Base::TimePoint now);
     void sendLedger(const Base::PoolId &pool, Coordination::ServiceLedger &ledger,
