--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -382,12 +382,12 @@
 
 void Node::receive(const Base::HostId &from, const WorkAsk &message, Base::TimePoint now)
 {
-    m_homes->giveWork(from, message, now);
+    m_homes->answerWorkAsk(from, message, now);
 }
 
 void Node::receive(const Base::HostId &, const WorkHandover &message, Base::TimePoint now)
 {
-    m_homes->takeWork(message, now);
+    m_homes->acceptHandover(message, now);
 }
 
 void Node::applyView(Base::TimePoint now)
--- a/src/libs/node/poolhomes.cpp
+++ b/src/libs/node/poolhomes.cpp
@@ -22,10 +22,10 @@
     const ServerDirectory &directory = m_context.directory;
     if (!directory.hasPool(pool) || shard >= directory.shards(pool))
         return nullptr;
-    Coordination::ServiceLedger *account = ledger(pool);
-    if (!account)
+    Coordination::ServiceLedger *poolLedger = ledger(pool);
+    if (!poolLedger)
         return nullptr;
-    auto created = PoolHome::create(m_context.settings, pool, shard, *account, m_context.outbox,
+    auto created = PoolHome::create(m_context.settings, pool, shard, *poolLedger, m_context.outbox,
                                     m_context.environment.random);
     if (!created)
         return nullptr;
@@ -37,42 +37,42 @@
 
 void PoolHomes::merge(const Base::HostId &from, const Coordination::LedgerDelta &delta)
 {
-    Coordination::ServiceLedger *account = ledger(delta.pool);
-    if (!account)
+    Coordination::ServiceLedger *poolLedger = ledger(delta.pool);
+    if (!poolLedger)
         return;
-    const bool isFolded = account->merge(delta) == Coordination::MergeResult::SenderIsFolded;
+    const bool isFolded = poolLedger->merge(delta) == Coordination::MergeResult::SenderIsFolded;
     if (isFolded || delta.isSnapshotRequest)
-        m_context.outbox.post(from, account->snapshot());
+        m_context.outbox.post(from, poolLedger->snapshot());
 }
 
 void PoolHomes::answerDigest(const Base::HostId &from, const WaitingDigest &digest)
 {
     // A home that does not know the pool yet answers too: it is not gone.
-    const PoolHome *at = home(digest.pool, digest.shard);
+    const PoolHome *knownHome = home(digest.pool, digest.shard);
     const WaitingReply unknown{digest.pool, digest.shard, digest.number, false, {}};
-    m_context.outbox.post(from, at ? at->compare(from, digest) : unknown);
+    m_context.outbox.post(from, knownHome ? knownHome->compare(from, digest) : unknown);
 }
 
-void PoolHomes::giveWork(const Base::HostId &, const WorkAsk &ask, Base::TimePoint now)
+void PoolHomes::answerWorkAsk(const Base::HostId &, const WorkAsk &ask, Base::TimePoint now)
 {
-    PoolHome *crowded = home(ask.pool, ask.shard);
-    if (!crowded)
+    PoolHome *donor = home(ask.pool, ask.shard);
+    if (!donor)
         return;
     Scheduling::HandoverPlanner &planner = m_planners[{ask.pool, ask.shard}];
-    const std::size_t count = planner.answer(ask.asker, ask.count, crowded->waiting(), now);
-    handOver(*crowded, {ask.asker, count}, true, now);
+    const std::size_t count = planner.answer(ask.asker, ask.count, donor->waiting(), now);
+    handOver(*donor, {ask.asker, count}, true, now);
 }
 
-void PoolHomes::takeWork(const WorkHandover &handover, Base::TimePoint now)
+void PoolHomes::acceptHandover(const WorkHandover &handover, Base::TimePoint now)
 {
-    PoolHome *idle = home(handover.pool, handover.shard);
-    if (!idle)
+    PoolHome *receiver = home(handover.pool, handover.shard);
+    if (!receiver)
         return;
     if (handover.isAnswer)
         m_planners[{handover.pool, handover.shard}].recordAnswer(handover.from,
                                                                  handover.requests.size(), now);
     for (const PermitRequest &request : handover.requests)
-        idle->request(request, now);
+        receiver->request(request, now);
 }
 
 void PoolHomes::recordLoad(const BackendLoad &load, Base::TimePoint now)
@@ -86,7 +86,7 @@
     for (auto &[key, home] : m_homes)
         home->setServers(m_context.directory.usable(key.first, key.second));
     dropLostEntryHosts(now);
-    dropUnused();
+    removeUnusedHomes();
 }
 
 void PoolHomes::refreshClaims()
@@ -107,8 +107,8 @@
 {
     const Coordination::PoolSummary own = home.summary();
     const bool isIdle = own.waiting == 0 && own.freePermits > 0;
-    const bool isCrowded = own.waiting > 0 && own.freePermits == 0;
-    if (!isIdle && !isCrowded)
+    const bool isBacklogged = own.waiting > 0 && own.freePermits == 0;
+    if (!isIdle && !isBacklogged)
         return;
     Scheduling::HandoverPlanner &planner = m_planners[key];
     if (isIdle) {
@@ -177,17 +177,17 @@
         summary.receivedAt = now;
         const auto own = m_homes.find({pool, shard});
         const std::vector<Base::HostId> &order = homeOrder(pool, shard);
-        const Base::HostId at = order.empty() ? Base::HostId() : order.front();
-        const auto member = m_context.membership.others().find(at);
-        if (at == m_context.settings.self.host && own != m_homes.end()) {
-            const Coordination::PoolSummary told = own->second->summary();
-            summary = {shard, told.waiting, told.freePermits, told.drainRate, now};
+        const Base::HostId homeHost = order.empty() ? Base::HostId() : order.front();
+        const auto member = m_context.membership.others().find(homeHost);
+        if (homeHost == m_context.settings.self.host && own != m_homes.end()) {
+            const Coordination::PoolSummary reported = own->second->summary();
+            summary = {shard, reported.waiting, reported.freePermits, reported.drainRate, now};
         } else if (member != m_context.membership.others().end()) {
             summary.receivedAt = member->second.heardAt;
-            for (const Coordination::PoolSummary &told : member->second.pools) {
-                if (told.pool != pool || told.shard != shard)
+            for (const Coordination::PoolSummary &reported : member->second.pools) {
+                if (reported.pool != pool || reported.shard != shard)
                     continue;
-                summary = {shard, told.waiting, told.freePermits, told.drainRate,
+                summary = {shard, reported.waiting, reported.freePermits, reported.drainRate,
                            member->second.heardAt};
             }
         }
@@ -238,7 +238,7 @@
     }
 }
 
-void PoolHomes::dropUnused()
+void PoolHomes::removeUnusedHomes()
 {
     // A home that has moved on is kept until the last permit that it gave is back.
     std::erase_if(m_homes, [&](const auto &entry) {
@@ -256,8 +256,8 @@
 {
     if (!m_ledgerInterval.take(now, m_context.environment.peers.stretch(now)))
         return;
-    for (auto &[pool, account] : m_ledgers)
-        sendLedger(pool, *account, now);
+    for (auto &[pool, poolLedger] : m_ledgers)
+        sendLedger(pool, *poolLedger, now);
 }
 
 void PoolHomes::sendLedger(const Base::PoolId &pool, Coordination::ServiceLedger &ledger,
--- a/src/libs/node/poolhomes.h
+++ b/src/libs/node/poolhomes.h
@@ -52,8 +52,8 @@
 
     void merge(const Base::HostId &from, const Coordination::LedgerDelta &delta);
     void answerDigest(const Base::HostId &from, const WaitingDigest &digest);
-    void giveWork(const Base::HostId &from, const WorkAsk &ask, Base::TimePoint now);
-    void takeWork(const WorkHandover &handover, Base::TimePoint now);
+    void answerWorkAsk(const Base::HostId &from, const WorkAsk &ask, Base::TimePoint now);
+    void acceptHandover(const WorkHandover &handover, Base::TimePoint now);
     void recordLoad(const BackendLoad &load, Base::TimePoint now);
 
     /// Servers, routers or targets changed.
@@ -74,7 +74,7 @@
     Coordination::ServiceLedger *ledger(const Base::PoolId &pool);
     const std::vector<Base::HostId> &homeOrder(const Base::PoolId &pool, std::uint32_t shard) const;
     void dropLostEntryHosts(Base::TimePoint now);
-    void dropUnused();
+    void removeUnusedHomes();
     void sendLedgers(Base::TimePoint now);
     void sendLedger(const Base::PoolId &pool, Coordination::ServiceLedger &ledger,
                     Base::TimePoint now);
