--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -18,9 +18,9 @@
                                                  const Environment &environment)
 {
     std::unique_ptr<Node> node(new Node(settings, environment));
-    Base::Result<void> assembled = node->assemble();
-    if (!assembled)
-        return assembled.error();
+    Base::Result<void> initialized = node->initialize();
+    if (!initialized)
+        return initialized.error();
     return node;
 }
 
@@ -29,7 +29,7 @@
     , m_environment(environment)
 {}
 
-Base::Result<void> Node::assemble()
+Base::Result<void> Node::initialize()
 {
     BOOST_LEAF_AUTO(table, Storage::TableGateway::create(m_settings.table, m_environment.table,
                                                          m_environment.random));
@@ -58,14 +58,14 @@
     BOOST_LEAF_AUTO(
         entry, EntryRequests::create({m_settings, m_environment, *m_membership, *m_configuration,
                                       m_directory, *m_claims, *m_homes, *m_homeOrders, *this}));
-    m_entry = std::move(entry);
+    m_entryRequests = std::move(entry);
     return {};
 }
 
 void Node::handle(const Event &event, Base::TimePoint now)
 {
     std::visit([&](const auto &it) { on(it, now); }, event);
-    finishTurn(now);
+    processPendingWork(now);
 }
 
 void Node::advance(Base::TimePoint now)
@@ -80,10 +80,10 @@
     sendHeartbeats(now);
     if (now >= m_nextEntryAdvance) {
         m_nextEntryAdvance = now + entryAdvanceInterval;
-        m_entry->advance(now);
+        m_entryRequests->advance(now);
     }
     m_homes->advance(now);
-    finishTurn(now);
+    processPendingWork(now);
 }
 
 Base::TimePoint Node::nextDue() const
@@ -95,7 +95,7 @@
 
 bool Node::isDrained(Base::TimePoint now) const
 {
-    if (!m_isLeaving || m_entry->size() > 0 || !m_idleSince)
+    if (!m_isLeaving || m_entryRequests->size() > 0 || !m_idleSince)
         return false;
     // A table that is down must not hold the exit for ever; what is not written then reads as
     // "may have run", which is safe.
@@ -115,7 +115,7 @@
     status.isLeaving = m_isLeaving;
     status.version = m_configuration->configuration().version();
     status.liveRouters = m_membership->usableRouters().size();
-    status.openRequests = m_entry->size();
+    status.openRequests = m_entryRequests->size();
     status.waitingHere = m_homes->waiting();
     return status;
 }
@@ -123,7 +123,7 @@
 void Node::post(const Base::HostId &to, const PeerMessage &message)
 {
     if (to == m_settings.self.host) {
-        m_local.push_back(message);
+        m_localMessages.push_back(message);
         return;
     }
     const auto it = m_membership->others().find(to);
@@ -133,14 +133,14 @@
 
 void Node::deliverLocally(Base::TimePoint now)
 {
-    while (!m_local.empty()) {
-        const PeerMessage message = std::move(m_local.front());
-        m_local.pop_front();
+    while (!m_localMessages.empty()) {
+        const PeerMessage message = std::move(m_localMessages.front());
+        m_localMessages.pop_front();
         std::visit([&](const auto &it) { receive(m_settings.self.host, it, now); }, message);
     }
 }
 
-void Node::deliverOutcomes(Base::TimePoint now)
+void Node::deliverTableOutcomes(Base::TimePoint now)
 {
     m_table->advance(now);
     for (const Storage::TableOutcome &outcome : m_table->takeOutcomes()) {
@@ -151,21 +151,21 @@
     }
 }
 
-void Node::finishTurn(Base::TimePoint now)
+void Node::processPendingWork(Base::TimePoint now)
 {
-    deliverOutcomes(now);
+    deliverTableOutcomes(now);
     for (const Claims::ClaimOutcome &outcome : m_claims->takeOutcomes())
-        m_entry->handleClaimOutcome(outcome, now);
+        m_entryRequests->handleClaimOutcome(outcome, now);
     answerTargetWrites(now);
-    for (const Base::HostId &home : m_entry->takeUnresponsiveHomes())
+    for (const Base::HostId &home : m_entryRequests->takeUnresponsiveHomes())
         m_membership->recordUnreachable(home, now);
-    applyView(now);
+    applyMembershipView(now);
     deliverLocally(now);
     m_homes->balance(now);
     deliverLocally(now);
-    if (m_isLeaving && m_entry->size() == 0 && !m_idleSince)
+    if (m_isLeaving && m_entryRequests->size() == 0 && !m_idleSince)
         m_idleSince = now;
-    if (m_entry->size() > 0)
+    if (m_entryRequests->size() > 0)
         m_idleSince.reset();
     // What this turn asked of the table leaves now.
     m_table->advance(now);
@@ -173,22 +173,22 @@
 
 void Node::on(const CallerRequest &event, Base::TimePoint now)
 {
-    m_entry->open(event, now);
+    m_entryRequests->open(event, now);
 }
 
 void Node::on(const CallerGone &event, Base::TimePoint now)
 {
-    m_entry->handleCallerDisconnected(event.caller, now);
+    m_entryRequests->handleCallerDisconnected(event.caller, now);
 }
 
 void Node::on(const CallerBlocked &event, Base::TimePoint)
 {
-    m_entry->handleCallerBlocked(event.caller);
+    m_entryRequests->handleCallerBlocked(event.caller);
 }
 
 void Node::on(const CallerReady &event, Base::TimePoint now)
 {
-    m_entry->handleCallerUnblocked(event.caller, now);
+    m_entryRequests->handleCallerUnblocked(event.caller, now);
 }
 
 void Node::on(const EntryHostsAsked &event, Base::TimePoint)
@@ -241,22 +241,22 @@
 
 void Node::on(const BackendHead &event, Base::TimePoint now)
 {
-    m_entry->handleBackendHead(event, now);
+    m_entryRequests->handleBackendHead(event, now);
 }
 
 void Node::on(const BackendPart &event, Base::TimePoint now)
 {
-    m_entry->handleBackendPart(event, now);
+    m_entryRequests->handleBackendPart(event, now);
 }
 
 void Node::on(const BackendFinished &event, Base::TimePoint now)
 {
-    m_entry->handleBackendFinished(event, now);
+    m_entryRequests->handleBackendFinished(event, now);
 }
 
 void Node::on(const BackendFailed &event, Base::TimePoint now)
 {
-    m_entry->handleBackendFailed(event, now);
+    m_entryRequests->handleBackendFailed(event, now);
 }
 
 void Node::on(const BackendLoad &event, Base::TimePoint now)
@@ -308,12 +308,12 @@
 
 void Node::receive(const Base::HostId &from, const PermitGrant &message, Base::TimePoint now)
 {
-    m_entry->handleGrant(from, message, now);
+    m_entryRequests->handleGrant(from, message, now);
 }
 
 void Node::receive(const Base::HostId &, const PermitRefusal &message, Base::TimePoint now)
 {
-    m_entry->handleRefusal(message, now);
+    m_entryRequests->handleRefusal(message, now);
 }
 
 void Node::receive(const Base::HostId &, const PermitCancel &message, Base::TimePoint now)
@@ -342,7 +342,7 @@
 
 void Node::receive(const Base::HostId &from, const PermitQuery &message, Base::TimePoint)
 {
-    m_entry->handlePermitQuery(from, message);
+    m_entryRequests->handlePermitQuery(from, message);
 }
 
 void Node::receive(const Base::HostId &from, const WaitingDigest &message, Base::TimePoint)
@@ -352,7 +352,7 @@
 
 void Node::receive(const Base::HostId &from, const WaitingReply &message, Base::TimePoint now)
 {
-    m_entry->reconcile(from, message, now);
+    m_entryRequests->reconcile(from, message, now);
 }
 
 void Node::receive(const Base::HostId &from, const Coordination::LedgerDelta &message,
@@ -390,7 +390,7 @@
     m_homes->acceptHandover(message, now);
 }
 
-void Node::applyView(Base::TimePoint now)
+void Node::applyMembershipView(Base::TimePoint now)
 {
     const bool isViewChanged = m_appliedView != m_membership->viewVersion();
     if (!isViewChanged && !m_isDirectoryChanged)
@@ -401,7 +401,7 @@
     m_configuration->setPolling(m_membership->zonePoller() == m_settings.self.host);
     m_table->setFleetSize(m_membership->usableRouters().size());
     m_homes->refresh(now);
-    m_entry->moveToCurrentHome(now);
+    m_entryRequests->moveToCurrentHome(now);
 }
 
 void Node::sendHeartbeats(Base::TimePoint now)
@@ -437,7 +437,7 @@
             failure.ran = Ran::Unknown;
         if (failure.type == FailureType::PlatformDown)
             failure.retryAfter = claimRetryAfter;
-        failure.requestId = m_entry->newRequestId();
+        failure.requestId = m_entryRequests->newRequestId();
         m_environment.callers.fail(result.handle, failure);
     }
 }
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -59,11 +59,11 @@
 
 private:
     Node(const NodeSettings &settings, const Environment &environment);
-    Base::Result<void> assemble();
+    Base::Result<void> initialize();
 
     void post(const Base::HostId &to, const PeerMessage &message) override;
     void deliverLocally(Base::TimePoint now);
-    void finishTurn(Base::TimePoint now);
+    void processPendingWork(Base::TimePoint now);
 
     void on(const CallerRequest &event, Base::TimePoint now);
     void on(const CallerGone &event, Base::TimePoint now);
@@ -109,10 +109,10 @@
     /// Whether this router is the one that deletes old claims.
     bool isSweeper() const;
     /// Brings homes and entry requests in line with the routers and servers known now.
-    void applyView(Base::TimePoint now);
+    void applyMembershipView(Base::TimePoint now);
     void sendHeartbeats(Base::TimePoint now);
     /// Hands the table's outcomes to the parts that asked.
-    void deliverOutcomes(Base::TimePoint now);
+    void deliverTableOutcomes(Base::TimePoint now);
     void answerTargetWrites(Base::TimePoint now);
 
     NodeSettings m_settings;
@@ -124,10 +124,10 @@
     std::unique_ptr<Coordination::ConfigurationReplica> m_configuration;
     std::unique_ptr<Claims::ClaimBook> m_claims;
     std::unique_ptr<Claims::ClaimSweeper> m_sweeper;
-    std::unique_ptr<EntryRequests> m_entry;
+    std::unique_ptr<EntryRequests> m_entryRequests;
     std::unique_ptr<HomeOrderCache> m_homeOrders;
     std::unique_ptr<PoolHomes> m_homes;
-    std::deque<PeerMessage> m_local;
+    std::deque<PeerMessage> m_localMessages;
     std::uint64_t m_appliedView = 0;
     bool m_isDirectoryChanged = false;
     bool m_isLeaving = false;
