--- a/src/libs/node/attempt.cpp
+++ b/src/libs/node/attempt.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-Scheduling::AttemptExecution ranOf(SendState sent)
+Scheduling::AttemptExecution toAttemptExecution(SendState sent)
 {
     switch (sent) {
     case SendState::NeverSent:
@@ -46,7 +46,7 @@
                                         Base::TimePoint now)
 {
     Scheduling::FailedAttempt attempt;
-    attempt.ran = ranOf(failed.sent);
+    attempt.ran = toAttemptExecution(failed.sent);
     attempt.isRepeatable = open.asked.isRepeatable;
     // The status of a service's answer is part of it; a model's stream begins with its first
     // part.
--- a/src/libs/node/peermessage.cpp
+++ b/src/libs/node/peermessage.cpp
@@ -6,7 +6,7 @@
 
 using Coordination::TrafficKind;
 
-struct KindOf
+struct TrafficKindVisitor
 {
     TrafficKind operator()(const Coordination::Heartbeat &) const
     {
@@ -31,7 +31,7 @@
 
 Coordination::TrafficKind trafficKind(const PeerMessage &message)
 {
-    return std::visit(KindOf(), message);
+    return std::visit(TrafficKindVisitor(), message);
 }
 
 } // namespace Node
--- a/src/libs/node/storedanswer.cpp
+++ b/src/libs/node/storedanswer.cpp
@@ -18,9 +18,9 @@
 Base::Result<StoredAnswer> decodeAnswer(const std::string &text)
 {
     const Json json = Json::parse(text, nullptr, false);
-    const bool isWhole = json.is_object() && json.contains("status") && json.contains("parts")
-                         && json["status"].is_number_integer() && json["parts"].is_array();
-    if (!isWhole)
+    const bool isWellFormed = json.is_object() && json.contains("status") && json.contains("parts")
+                              && json["status"].is_number_integer() && json["parts"].is_array();
+    if (!isWellFormed)
         return boost::leaf::new_error(MalformedAnswer{});
     StoredAnswer answer;
     answer.status = json["status"].get<int>();
