--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How often the entry side looks for digests, deadlines and pauses that are due.
+/// Interval at which the entry side checks for due digests, deadlines and retries.
 constexpr Base::Duration entryAdvanceInterval = std::chrono::milliseconds(20);
 
 } // namespace
@@ -97,8 +97,8 @@
 {
     if (!m_isLeaving || m_entryRequests->size() > 0 || !m_idleSince)
         return false;
-    // A table that is down must not hold the exit for ever; what is not written then reads as
-    // "may have run", which is safe.
+    // A table that is down must not block the exit forever. A claim whose end is not written is
+    // read as "may have run", which is safe.
     return m_claims->unsettled() == 0 || now - *m_idleSince >= claimSettleTimeout;
 }
 
@@ -167,7 +167,7 @@
         m_idleSince = now;
     if (m_entryRequests->size() > 0)
         m_idleSince.reset();
-    // What this turn asked of the table leaves now.
+    // Sends the table operations that were queued while this event was processed.
     m_table->advance(now);
 }
 
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -26,26 +26,35 @@
 
 namespace Node {
 
-/// One router: all decisions and all coordination of one process, without threads, sockets,
-/// clock reads or global state.
+/// The deterministic core of one router process: it makes all scheduling decisions and handles
+/// all coordination with other routers. It has no threads, sockets, clock reads or global state.
 ///
-/// Events go in with the time; actions come out through the interfaces of the Environment.
-/// The same events at the same times, with the same random numbers, give the same actions.
+/// The caller passes in each event together with the current time. The node acts through the
+/// interfaces of its Environment. The same events at the same times, with the same random
+/// numbers, lead to the same actions.
+///
+/// A node has two roles. As the entry host it holds the requests of the callers connected to it
+/// (EntryRequests). As the home of pool shards it queues work and grants permits to send that
+/// work to backend servers (PoolHomes). A pool is the set of backend servers that can run the
+/// same model or service.
 class Node final : private Outbox
 {
 public:
+    /// Fails if one of the policies in \a settings is invalid.
     static Base::Result<std::unique_ptr<Node>> create(const NodeSettings &settings,
                                                       const Environment &environment);
 
     void handle(const Event &event, Base::TimePoint now);
-    /// Does what is due at \a now. Call it at nextDue() or earlier.
+    /// Runs all timers that are due at \a now. Must be called at nextDue() or earlier.
     void advance(Base::TimePoint now);
     Base::TimePoint nextDue() const;
 
-    /// Knows its configuration and the backend servers: requests can be served.
+    /// Returns whether the node knows its configuration and the backend servers, so that it can
+    /// serve requests.
     bool isReady() const { return m_configuration->isReady() && m_directory.isKnown(); }
-    /// Asked to leave, every request has its final answer, and the claims of finished work are
-    /// written, or have had their time to be.
+    /// Returns whether the process can exit: shutdown was requested, every request has its final
+    /// answer, and the claims of finished work are written to the table or claimSettleTimeout
+    /// has passed.
     bool isDrained(Base::TimePoint now) const;
     NodeStatus status() const;
 
@@ -106,12 +115,13 @@
     void receive(const Base::HostId &from, const WorkAsk &message, Base::TimePoint now);
     void receive(const Base::HostId &from, const WorkHandover &message, Base::TimePoint now);
 
-    /// Whether this router is the one that deletes old claims.
+    /// Returns whether this router is the one that deletes old claims.
     bool isSweeper() const;
-    /// Brings homes and entry requests in line with the routers and servers known now.
+    /// Updates homes and entry requests after the set of usable routers or the directory of
+    /// backend servers has changed.
     void applyMembershipView(Base::TimePoint now);
     void sendHeartbeats(Base::TimePoint now);
-    /// Hands the table's outcomes to the parts that asked.
+    /// Passes the outcomes of table operations to the components that started them.
     void deliverTableOutcomes(Base::TimePoint now);
     void answerTargetWrites(Base::TimePoint now);
 
@@ -131,7 +141,7 @@
     std::uint64_t m_appliedView = 0;
     bool m_isDirectoryChanged = false;
     bool m_isLeaving = false;
-    /// When the last request ended after the process was asked to leave.
+    /// Time at which no request was open any more after shutdown was requested.
     std::optional<Base::TimePoint> m_idleSince;
     Base::TimePoint m_nextEntryAdvance{};
 };
