--- a/src/libs/node/poolhome.cpp
+++ b/src/libs/node/poolhome.cpp
@@ -7,12 +7,14 @@
 
 namespace {
 
-/// A permit not heard of for this long is asked for. A lost release idles a slot that long.
+/// A permit without a report for this long is queried at its entry host. A lost release leaves a
+/// slot of a backend server idle for up to this long.
 constexpr Base::Duration permitQueryInterval = std::chrono::seconds(3);
 
-/// A customer sets the floor once it has waited this long. Customers that ask for little come
-/// and go at the floor; if they set it, it would stand still while all others move on, and the
-/// clamp on debts would make those equal.
+/// A customer counts towards the floor of the ledger once its backlog has lasted this long.
+/// Customers with little demand join and leave at the floor. If they counted, the floor would
+/// stay still while all other customers advance, and the clamp on debts would make those others
+/// equal.
 constexpr Base::Duration persistentBacklogAge = std::chrono::seconds(2);
 constexpr Base::Duration backlogCheckInterval = std::chrono::milliseconds(250);
 
@@ -119,13 +121,13 @@
     const Base::HostId &entry = request.attempt.request.entry;
     const auto permit = m_permits.find(request.attempt);
     if (permit != m_permits.end()) {
-        // The grant was lost on its way: the entry would wait for ever, so it is sent again.
+        // The grant was lost. It is sent again, else the entry host would wait forever.
         m_outbox->post(entry, PermitGrant{request.attempt, m_pool, m_shard, permit->second.server});
         return;
     }
     if (m_waitingByEntry[entry].contains(request.attempt))
         return;
-    // An older attempt whose cancel was lost makes room for this one.
+    // Replaces an older attempt of the same request whose cancel message was lost.
     if (const auto older = m_queue.remove(request.attempt.request))
         removeWaiting(*older);
     m_waitingByEntry[entry].add(request.attempt);
@@ -198,7 +200,7 @@
 
 void PoolHome::recordService(Permit &permit, Base::ServiceUnits total)
 {
-    // A total that is not larger comes from a message that was overtaken or doubled.
+    // A total that is not larger comes from a reordered or duplicated message.
     if (total <= permit.served)
         return;
     const Base::ServiceUnits units = total - permit.served;
@@ -480,7 +482,8 @@
     for (auto &[attempt, permit] : m_permits) {
         if (now - permit.confirmedAt < permitQueryInterval)
             continue;
-        // Not asked again before the next interval; the answer to a permit in use is silence.
+        // The permit is not queried again for one interval: an entry host does not reply for a
+        // permit that is in use.
         permit.confirmedAt = now;
         PermitQuery &query = queries[permit.entry];
         query.pool = m_pool;
--- a/src/libs/node/poolhome.h
+++ b/src/libs/node/poolhome.h
@@ -25,7 +25,7 @@
 
 namespace Node {
 
-/// How much of one backend server is in use, as its home sees it.
+/// The permits in use and the permit limit of one backend server, as its home counts them.
 struct ServerUse
 {
     Base::ServerId server;
@@ -33,39 +33,51 @@
     std::size_t limit = 0;
 };
 
-/// One shard of a pool at its home router: the queue of work that waits for a permit, the
-/// concurrency of each backend server, and the permits given.
+/// Schedules the work of one pool shard on its home router.
 ///
-/// All of it is soft state. A request and its caller live at the entry host; if this home is
-/// lost the entry hosts ask the next one, so no answer is lost with it. Two routers that both
-/// believe to be home give at most twice the permits for a moment, which costs waiting at the
-/// server and nothing else.
+/// A home is the router that owns the queue of a pool shard. A permit is the right to run one
+/// attempt on one backend server. The home queues permit requests from entry hosts in fair
+/// order, limits the concurrency of each backend server, and tracks the permits it has granted.
+///
+/// All of this is soft state. The request itself and its caller's connection stay at the entry
+/// host. If this home fails, the entry hosts send their permit requests to the next home, so no
+/// answer is lost. If two routers both act as the home of a shard for a moment, they grant at
+/// most twice the permits; the extra work then waits in the queue of the backend server.
 class PoolHome final : private Scheduling::ClassClaims
 {
 public:
+    /// Fails if the queue or admission policy in \a settings is invalid.
     static Base::Result<std::unique_ptr<PoolHome>>
     create(const NodeSettings &settings, const Base::PoolId &pool, std::uint32_t shard,
            Coordination::ServiceLedger &ledger, Outbox &outbox, Base::RandomSource &random);
 
+    /// Replaces the usable backend servers. A server that is no longer listed gets no new permits
+    /// and is removed once its last permit is released.
     void setServers(const std::vector<const Server *> &servers);
-    /// Share of the pool that each class may claim while others wait.
+    /// Reads the share of the pool's permits that each class of work may use while other classes
+    /// have work waiting.
     void setClaims(const Settings::Configuration &configuration);
 
     const Base::PoolId &pool() const { return m_pool; }
     std::uint32_t shard() const { return m_shard; }
 
+    /// Queues the request, or refuses it under the admission policy. A repeated request that
+    /// already has a permit is granted again, because its first grant may have been lost.
     void request(const PermitRequest &request, Base::TimePoint now);
     void cancel(const PermitCancel &cancel, Base::TimePoint now);
     void release(const PermitRelease &release, Base::TimePoint now);
     void charge(const ServiceCharge &charge, Base::TimePoint now);
+    /// Counts a permit that an earlier home granted and that is still in use.
     void adoptPermit(const Base::HostId &entry, const PermitHeld &held, Base::TimePoint now);
     void recordLoad(const BackendLoad &load, Base::TimePoint now);
-    /// What waits here for \a entry, against what it believes.
+    /// Compares the attempts that wait here for \a entry with the digest of what \a entry expects
+    /// to be waiting.
     WaitingReply compare(const Base::HostId &entry, const WaitingDigest &digest) const;
-    /// \a entry is gone, and with it all that waited for it or ran under it.
+    /// Drops all waiting work and all permits of \a entry, which has failed or restarted.
     void dropEntryHost(const Base::HostId &entry, Base::TimePoint now);
     void advance(Base::TimePoint now);
-    /// Takes at most \a count of the work next in order, as requests to shard \a to.
+    /// Removes at most \a count items from the head of the queue and returns them as permit
+    /// requests to shard \a to.
     std::vector<PermitRequest> takeForHandover(std::size_t count, std::uint32_t to,
                                                Base::TimePoint now);
 
@@ -75,7 +87,8 @@
     std::size_t permitLimit() const;
     std::vector<Base::ServerId> servers() const;
     std::vector<ServerUse> serverUse() const;
-    /// Between the most and the least served customer with waiting work; 0 without two.
+    /// Difference in weighed tokens between the most and the least served customer with waiting
+    /// work; 0 if fewer than two customers have waiting work.
     Base::ServiceUnits fairnessGap() const;
 
 private:
@@ -93,11 +106,14 @@
         Base::ServerId server;
         Base::CustomerId customer;
         Base::ClassId workClass;
+        /// The part of the expected cost that is still held against the customer's account and
+        /// not yet charged.
         Base::ServiceUnits held = 0;
-        /// The caller's hint; 0 when it is not known here.
+        /// Cost expected from the caller's hints; 0 if this home does not know it.
         Base::ServiceUnits expected = 0;
+        /// Service reported under the permit so far.
         Base::ServiceUnits served = 0;
-        /// When it was last known to be in use.
+        /// Time at which the permit was last known to be in use, or was last queried.
         Base::TimePoint confirmedAt;
     };
 
@@ -106,8 +122,10 @@
              Scheduling::FairQueue queue, Scheduling::AdmissionPolicy admission);
 
     bool isOverClaim(const Base::ClassId &workClass) const override;
-    /// Median of the servers' quickest first tokens; empty with fewer than two servers.
+    /// Median over the servers of their minimum time to first token; empty if fewer than two
+    /// servers have one.
     std::optional<Base::Duration> medianTimeToFirstToken() const;
+    /// Grants permits in queue order until no server has a free permit or no work may go.
     void dispatch(Base::TimePoint now);
     std::vector<Scheduling::ServerCandidate> serversWithFreePermits() const;
     void grant(const Scheduling::WaitingWork &work, const Base::ServerId &server,
@@ -116,11 +134,14 @@
     Scheduling::PoolState poolState(const Base::CustomerId &customer) const;
     void refuse(const Scheduling::WaitingWork &work, const Scheduling::AdmissionRefusal &refusal);
     void removeWaiting(const Scheduling::WaitingWork &work);
-    /// Charges what \a total, all service under the permit, adds to what is known.
+    /// Charges the customer the increase since the last report. \a total is all service received
+    /// under the permit.
     void recordService(Permit &permit, Base::ServiceUnits total);
-    /// Finds the customers that set the floor, and clamps debts against it.
+    /// Updates the set of customers whose backlog has lasted for persistentBacklogAge. They define
+    /// the floor of the ledger, and the debts of other customers are clamped against it.
     void updatePersistentlyBacklogged(Base::TimePoint now);
-    /// Asks entry hosts for permits long unheard of: their release may have been lost.
+    /// Queries the entry hosts about permits without a recent report, because their release may
+    /// have been lost.
     void queryPermits(Base::TimePoint now);
 
     NodeSettings m_settings;
@@ -136,9 +157,9 @@
     std::map<AttemptId, Permit> m_permits;
     std::map<Base::HostId, WaitingSet> m_waitingByEntry;
     Base::TimePoint m_nextQuery{};
-    /// Since when each customer has had work waiting.
+    /// Start of the current backlog of each customer that has work waiting.
     std::map<Base::CustomerId, Base::TimePoint> m_backloggedSince;
-    /// The customers that have had work waiting for a while.
+    /// The customers whose backlog has lasted for at least persistentBacklogAge.
     std::vector<Base::CustomerId> m_persistentlyBacklogged;
     Base::TimePoint m_nextBacklogCheck{};
     std::map<Base::ClassId, double> m_claims;
