--- a/src/libs/node/poolhomes.cpp
+++ b/src/libs/node/poolhomes.cpp
@@ -47,7 +47,7 @@
 
 void PoolHomes::answerDigest(const Base::HostId &from, const WaitingDigest &digest)
 {
-    // A home that does not know the pool yet answers too: it is not gone.
+    // A router that does not know the pool yet also replies; else it would count as failed.
     const PoolHome *knownHome = home(digest.pool, digest.shard);
     const WaitingReply unknown{digest.pool, digest.shard, digest.number, false, {}};
     m_context.outbox.post(from, knownHome ? knownHome->compare(from, digest) : unknown);
@@ -240,7 +240,8 @@
 
 void PoolHomes::removeUnusedHomes()
 {
-    // A home that has moved on is kept until the last permit that it gave is back.
+    // After a shard has moved to another home, the old one is kept until its queue is empty and
+    // its last permit is released.
     std::erase_if(m_homes, [&](const auto &entry) {
         const auto &[key, home] = entry;
         const std::vector<Base::HostId> &order = homeOrder(key.first, key.second);
@@ -267,7 +268,8 @@
     const std::optional<Coordination::LedgerDelta> delta = ledger.takeDelta(ledgerEntriesPerDelta);
     if (!delta)
         return;
-    // To the homes of the pool, which order by it, and to their standbys, which would have to.
+    // The homes of the pool order their queues by the ledger, and each standby needs it to take
+    // over from its home.
     constexpr std::ptrdiff_t homeAndStandby = 2;
     std::set<Base::HostId> receivers;
     for (std::uint32_t shard = 0; shard < m_context.directory.shards(pool); ++shard) {
--- a/src/libs/node/poolhomes.h
+++ b/src/libs/node/poolhomes.h
@@ -25,7 +25,7 @@
 
 namespace Node {
 
-/// What the home side looks at but does not own.
+/// The objects that PoolHomes uses but does not own. They must outlive it.
 struct HomeContext
 {
     const NodeSettings &settings;
@@ -37,7 +37,11 @@
     Outbox &outbox;
 };
 
-/// The pool shards that this router is home of, with the service accounts of their pools.
+/// The homes of all pool shards that this router schedules, and one ledger of received service
+/// per pool.
+///
+/// PoolHomes also exchanges ledgers with other routers, polls the load of backend servers, and
+/// moves waiting work between shards of one pool.
 class PoolHomes
 {
 public:
@@ -45,27 +49,34 @@
 
     explicit PoolHomes(const HomeContext &context);
 
-    /// The home of a shard, made when it is first asked for; null for a shard that the list of
-    /// hosts does not have. Whoever asks is served: correctness does not rest on being home.
+    /// Returns the home of a shard and creates it on first use; null if the list of hosts has no
+    /// such shard. The function does not check whether this router is the current home, because
+    /// correctness does not depend on that.
     PoolHome *home(const Base::PoolId &pool, std::uint32_t shard);
     const std::map<Key, std::unique_ptr<PoolHome>> &all() const { return m_homes; }
 
+    /// Merges a ledger delta of another router. Replies with a snapshot if the sender requests one
+    /// or was folded out of this ledger.
     void merge(const Base::HostId &from, const Coordination::LedgerDelta &delta);
     void answerDigest(const Base::HostId &from, const WaitingDigest &digest);
+    /// Hands over work to an idle shard that asks for it; replies even if there is none.
     void answerWorkAsk(const Base::HostId &from, const WorkAsk &ask, Base::TimePoint now);
+    /// Queues requests that the home of another shard hands over.
     void acceptHandover(const WorkHandover &handover, Base::TimePoint now);
     void recordLoad(const BackendLoad &load, Base::TimePoint now);
 
-    /// Servers, routers or targets changed.
+    /// Updates all homes after the backend servers or the usable routers have changed.
     void refresh(Base::TimePoint now);
+    /// Passes the class shares of the current configuration to all homes.
     void refreshClaims();
-    /// Lets idle and crowded shards of one pool even out. Cheap where a pool has one shard.
+    /// Moves waiting work from backlogged to idle shards of the same pool. Costs little for a
+    /// pool with one shard.
     void balance(Base::TimePoint now);
     void advance(Base::TimePoint now);
     Base::TimePoint nextDue() const;
 
     std::vector<Coordination::PoolSummary> summaries() const;
-    /// The shards of a pool as their homes last described them.
+    /// Returns a summary of each shard of a pool, as last reported by its home.
     std::vector<Scheduling::ShardSummary> shards(const Base::PoolId &pool,
                                                  Base::TimePoint now) const;
     std::size_t waiting() const;
@@ -87,7 +98,8 @@
     std::map<Base::PoolId, std::unique_ptr<Coordination::ServiceLedger>> m_ledgers;
     std::map<Key, std::unique_ptr<PoolHome>> m_homes;
     std::map<Key, Scheduling::HandoverPlanner> m_planners;
-    /// The start of each other router for which homes here hold work; 0 if it is gone.
+    /// Last known incarnation of each other router, to detect restarts of entry hosts; 0 if the
+    /// router is not alive.
     std::map<Base::HostId, Base::Incarnation> m_entryIncarnations;
     Base::TimePoint m_nextLoadPoll{};
     Coordination::StretchedInterval m_ledgerInterval;
