--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-/// Guards against a frozen backend server, whose connection stays open and says nothing: the
-/// caller would wait for ever. A slow caller's stream is silent because it is held back.
+/// Returns whether the backend server has sent nothing for backendIdleTimeout. The connection to
+/// a frozen server stays open, so without this check its caller would wait forever. A stream that
+/// is paused for a slow caller does not count as idle.
 bool isBackendIdle(const OpenRequest &open, Base::TimePoint now)
 {
     return open.state == RequestState::Sent && !open.isBlocked
@@ -52,7 +53,8 @@
     OpenRequest &added = m_open[key] = open;
     m_byCaller[asked.caller] = key;
 
-    // A process that has just started must not answer that a model does not exist.
+    // Until the configuration and the list of hosts are known, a missing model is no reason to
+    // report it as unknown.
     if (!m_context.configuration.isReady() || !m_context.directory.isKnown()) {
         Failure failure =
             makeFailure(FailureType::NotReady, "no configuration or list of hosts yet");
@@ -93,8 +95,8 @@
     if (byCaller == m_byCaller.end())
         return;
     OpenRequest &open = m_open.at(byCaller->second);
-    // Work that must not be repeated runs to its end once it is sent: cancelled half-way, its
-    // key could never be answered for again.
+    // Work that is not repeatable runs to its end once it is sent. If it were cancelled, no later
+    // call with its key could get an answer.
     if (open.needsClaim() && open.state == RequestState::Sent) {
         open.isCallerGone = true;
         return;
@@ -235,7 +237,7 @@
 void EntryRequests::handleBackendPart(const BackendPart &part, Base::TimePoint now)
 {
     OpenRequest *open = find(part.attempt);
-    // Late, doubled and crossed parts name another attempt or another place in the stream.
+    // Late, duplicated and reordered parts carry another attempt number or another index.
     if (!open || open->state != RequestState::Sent || part.index != open->nextPart)
         return;
     ++open->nextPart;
@@ -351,7 +353,8 @@
 
 void EntryRequests::expire(OpenRequest &open, Base::TimePoint now)
 {
-    // Work that must not be repeated runs to its end once it is sent; only its caller is told.
+    // Work that is not repeatable runs to its end once it is sent; only its caller gets the
+    // failure now.
     const bool isSent = open.state == RequestState::Sent;
     if (isSent)
         open.mayHaveRun = true;
@@ -406,7 +409,8 @@
     const Server *server = m_context.directory.server(open.server);
     const bool isClaimLost = open.needsClaim() && !m_context.claims.maySend(open.key, now);
     if (!server || isClaimLost) {
-        // A process frozen past its lease wakes here. Nothing more leaves, so it gives up.
+        // The backend server is gone, or the claim lapsed, for example while the process was
+        // suspended past its lease. Nothing is sent, so the request fails as not run.
         m_permits.release(open, Scheduling::PermitOutcome::NotUsed, now);
         Failure failure = isClaimLost
                               ? makeFailure(FailureType::ClaimUnavailable, "the claim lapsed")
--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -24,7 +24,7 @@
 
 namespace Node {
 
-/// What the entry side looks at but does not own.
+/// The objects that EntryRequests uses but does not own. They must outlive it.
 struct EntryContext
 {
     const NodeSettings &settings;
@@ -38,16 +38,22 @@
     Outbox &outbox;
 };
 
-/// The requests of the callers connected to this process, from arrival to final answer.
+/// The requests of the callers connected to this process, from arrival to final answer. This
+/// process is the entry host of these requests.
 ///
-/// A request stays here, where its caller's connection is; only a permit request travels. So
-/// the loss of any other router loses no request, and it is known here, and only here, whether
-/// a byte of it was sent.
+/// A request stays at its entry host, which also holds the caller's connection; only a permit
+/// request is sent to the home. Therefore no request is lost when another router fails, and only
+/// the entry host knows whether a byte of the request was sent to a backend server.
+///
+/// Work that is not repeatable needs a claim: a row in the table that lets one router at a time
+/// run the call with a given idempotency key. Its fence is a number that grows with each claim.
 class EntryRequests
 {
 public:
+    /// Fails if the retry budget or the retry policy in the settings is invalid.
     static Base::Result<std::unique_ptr<EntryRequests>> create(const EntryContext &context);
 
+    /// Opens a request: authenticates the caller, then claims the work or requests a permit.
     void open(const CallerRequest &asked, Base::TimePoint now);
     void handleCallerDisconnected(CallerId caller, Base::TimePoint now);
     void handleCallerBlocked(CallerId caller);
@@ -63,14 +69,18 @@
     void handleBackendFinished(const BackendFinished &finished, Base::TimePoint now);
     void handleBackendFailed(const BackendFailed &failed, Base::TimePoint now);
 
-    /// Compares what waits at \a home with what it says, and mends the difference.
+    /// Compares the requests that wait at \a home with its reply. Sends missing permit requests
+    /// again and cancels unwanted ones.
     void reconcile(const Base::HostId &home, const WaitingReply &reply, Base::TimePoint now);
+    /// Returns each home that left too many digests unanswered, once.
     std::vector<Base::HostId> takeUnresponsiveHomes() { return m_permits.takeUnresponsiveHomes(); }
-    /// The set of usable routers changed: asks new homes, tells them of permits in use.
+    /// Called when the set of usable routers has changed. Sends waiting permit requests to the
+    /// new homes and reports the permits in use to them.
     void moveToCurrentHome(Base::TimePoint now);
     void advance(Base::TimePoint now);
 
-    /// Text for an answer to a request that does not go to a backend server.
+    /// Returns a new request id, for the answer to a request that does not go to a backend
+    /// server.
     std::string newRequestId() { return Base::toString(newKey()); }
 
     std::size_t size() const { return m_open.size(); }
@@ -89,7 +99,8 @@
     void replay(OpenRequest &open, const std::string &storedAnswer, Base::TimePoint now);
     void failWith(OpenRequest &open, Failure failure, Base::TimePoint now);
     void expire(OpenRequest &open, Base::TimePoint now);
-    /// Takes the work back from its home or its backend server.
+    /// Cancels the permit request at the home or the attempt at the backend server, and releases
+    /// the permit.
     void cancelWork(OpenRequest &open, Base::TimePoint now);
     void settleClaim(const OpenRequest &open, Base::TimePoint now);
     void close(const Base::RequestKey &key);
