--- a/src/libs/node/permitclient.cpp
+++ b/src/libs/node/permitclient.cpp
@@ -16,8 +16,8 @@
     return std::chrono::duration_cast<Milliseconds>(duration);
 }
 
-/// Of a busy entry host's last seconds: a home asks for a permit three seconds after it heard
-/// of it last.
+/// Number of releases kept for repetition. They cover the last seconds of a busy entry host: a
+/// home queries a permit three seconds after its last report.
 constexpr std::size_t maxRememberedReleases = 1000;
 
 PermitRelease unusedRelease(const AttemptId &attempt, const Base::PoolId &pool, std::uint32_t shard,
@@ -142,7 +142,7 @@
 void PermitClient::answerPermitQuery(const AttemptId &attempt, const Base::HostId &home,
                                      const Base::PoolId &pool, std::uint32_t shard)
 {
-    // The release was lost: the same again, so that its service is counted.
+    // The release was lost. The same release is sent again, so that its service is charged.
     const auto it = std::find_if(m_released.begin(), m_released.end(),
                                  [&](const PermitRelease &it) { return it.attempt == attempt; });
     if (it == m_released.end())
--- a/src/libs/node/permitclient.h
+++ b/src/libs/node/permitclient.h
@@ -19,7 +19,7 @@
 
 namespace Node {
 
-/// What the asking side of permits looks at but does not own.
+/// The objects that PermitClient uses but does not own. They must outlive it.
 struct PermitContext
 {
     const NodeSettings &settings;
@@ -31,36 +31,43 @@
     Outbox &outbox;
 };
 
-/// The entry side of permits: asks the home router of a pool shard for them, watches over the
-/// asks, charges and gives back.
+/// Requests permits at the home router of a pool shard on behalf of this entry host, monitors the
+/// pending permit requests, reports received service and releases the permits.
 class PermitClient
 {
 public:
     explicit PermitClient(const PermitContext &context);
 
-    /// Asks for a permit for the request's current attempt.
+    /// Requests a permit for the current attempt of the request.
     void requestPermit(OpenRequest &open, Base::TimePoint now);
-    /// Takes the ask back.
+    /// Cancels the pending permit request at its home.
     void cancelPermitRequest(const OpenRequest &open);
-    /// The home has answered for good.
+    /// Stops monitoring a permit request that has its final answer.
     void stopMonitoring(const OpenRequest &open);
-    /// Takes a grant, also from a home that the work was handed to.
+    /// Accepts a grant. \a home may differ from the home that was requested, because waiting work
+    /// can be handed over to another shard.
     void acceptGrant(OpenRequest &open, const Base::HostId &home, const PermitGrant &grant);
-    /// Gives back at once a permit that nobody wants, so that its slot does not idle.
+    /// Releases a granted permit that no request needs, so that its slot at the backend server
+    /// does not stay idle.
     void declineGrant(const Base::HostId &home, const PermitGrant &grant);
-    /// Reports service received while the permit is in use.
+    /// Reports to the home the service received so far under a permit in use.
     void charge(OpenRequest &open);
+    /// Releases the permit of the request and reports the service received and the times taken.
     void release(OpenRequest &open, Scheduling::PermitOutcome outcome, Base::TimePoint now);
 
-    /// The usable routers changed: a waiting request asks the new home, a permit in use is told
-    /// to it.
+    /// Called when the set of usable routers has changed. If the shard has a new home, sends a
+    /// waiting request to it, or reports a permit in use to it.
     void moveToCurrentHome(OpenRequest &open, Base::TimePoint now);
+    /// Compares a reply of \a home with the attempts that wait there, and cancels the unwanted
+    /// ones.
     HomeMonitor::Difference compare(const Base::HostId &home, const WaitingReply &reply);
-    /// Asks again at \a home, which does not know of the ask.
+    /// Sends the permit request to \a home again, because \a home does not know it.
     void resendRequest(const OpenRequest &open, const Base::HostId &home, Base::TimePoint now);
-    /// A permit that \a home believes to be in use is not.
+    /// Replies to a query of \a home about a permit that is not in use. Repeats its release if it
+    /// is still remembered; else releases the permit as unused.
     void answerPermitQuery(const AttemptId &attempt, const Base::HostId &home,
                            const Base::PoolId &pool, std::uint32_t shard);
+    /// Sends the digests of waiting requests that are due at \a now.
     void sendDigests(Base::TimePoint now);
     std::vector<Base::HostId> takeUnresponsiveHomes() { return m_monitor.takeUnresponsiveHomes(); }
 
@@ -73,7 +80,7 @@
 
     PermitContext m_context;
     HomeMonitor m_monitor;
-    /// The last releases, in case one was lost.
+    /// The most recent releases, kept to be repeated if one was lost.
     std::deque<PermitRelease> m_released;
     std::map<Base::PoolId, Scheduling::ShardSelector> m_selectors;
 };
