--- a/src/libs/node/openrequest.h
+++ b/src/libs/node/openrequest.h
@@ -13,13 +13,13 @@
 namespace Node {
 
 enum class RequestState {
-    Claiming,   ///< Waits for its claim in the table.
-    Waiting,    ///< Waits for a permit.
-    Sent,       ///< On its way to, or running at, a backend server.
-    BackingOff, ///< Failed, and waits before the next attempt.
+    Claiming,   ///< The request waits for its claim in the table.
+    Waiting,    ///< The request waits for a permit.
+    Sent,       ///< The current attempt is on its way to a backend server or runs there.
+    BackingOff, ///< The last attempt failed, and the request waits before the next one.
 };
 
-/// A caller's request that has no final answer yet, at its entry host.
+/// A request without a final answer, as its entry host tracks it.
 struct OpenRequest
 {
     Base::RequestKey key;
@@ -29,43 +29,49 @@
     Base::PoolId pool;
     RequestState state = RequestState::Waiting;
     bool isCallerGone = false;
-    /// The caller reads slower than its answer comes, and the server is held back.
+    /// The caller reads more slowly than its answer arrives, so reading from the backend server
+    /// is paused.
     bool isBlocked = false;
 
-    /// The current attempt, from 1.
+    /// Number of the current attempt, counted from 1; 0 before the first one.
     std::uint32_t attempt = 0;
     std::uint32_t shard = 0;
-    /// Router asked for the permit, or that gave it.
+    /// Router that the permit request was sent to, or that granted the permit.
     Base::HostId home;
     Base::Incarnation homeIncarnation = 0;
     Base::ServerId server;
-    /// The attempt that the permit in hand was given for. A stream that is resumed keeps it.
+    /// The attempt that the current permit was granted for. A resumed stream keeps its permit, so
+    /// this may be an earlier attempt than the current one.
     AttemptId permit;
     /// While Pausing: what comes next, and when.
     Scheduling::RetryStep nextRetryStep = Scheduling::RetryStep::GiveUp;
     Base::TimePoint nextRetryStepAt;
-    /// Fencing number of the claim; 0 if there is none.
+    /// Fencing token of the claim; 0 if there is none.
     std::uint64_t fence = 0;
 
     Base::TimePoint arrivedAt;
     Base::TimePoint permitRequestedAt;
     Base::TimePoint sentAt;
-    /// When the backend server last said anything.
+    /// Time of the last data from the backend server, of sending, or of the caller's buffer having
+    /// room again.
     Base::TimePoint lastResponseAt;
     Base::TimePoint firstPartAt;
     bool hasFirstPart = false;
     bool isAnswerStarted = false;
-    /// Some attempt may have run: it is never said again that nothing ran.
+    /// Some attempt may have run. From then on, no failure of this request reports that nothing
+    /// ran.
     bool mayHaveRun = false;
 
     std::uint64_t nextPart = 0;
     std::string streamName;
-    /// Received under the permit in hand: in all, and as far as its home was told.
+    /// Weighed tokens received under the current permit.
     Base::ServiceUnits received = 0;
+    /// The part of them that was reported to the home.
     Base::ServiceUnits charged = 0;
-    /// Received under earlier permits.
+    /// Weighed tokens received under earlier permits.
     Base::ServiceUnits receivedBefore = 0;
-    /// Of work that is not repeatable: kept for a repeat of the call.
+    /// The answer so far, collected only for work that is not repeatable, so that a repeated call
+    /// gets the same answer.
     StoredAnswer storedAnswer;
 
     bool needsClaim() const { return !asked.isRepeatable; }
