--- a/src/libs/node/homewatch.cpp
+++ b/src/libs/node/homewatch.cpp
@@ -39,7 +39,7 @@
     state.unanswered = 0;
     if (reply.isMatch)
         return difference;
-    // What was asked for after the digest is on its way and is judged by the next one.
+    // A request sent after the digest may still be in transit; the next digest covers it.
     for (const AttemptId &attempt : state.digested) {
         const bool isKnown = std::find(reply.attempts.begin(), reply.attempts.end(), attempt)
                              != reply.attempts.end();
--- a/src/libs/node/homewatch.h
+++ b/src/libs/node/homewatch.h
@@ -15,18 +15,19 @@
 
 struct HomeMonitorPolicy
 {
-    /// Between two digests to a home where requests wait. A lost message is found after at
-    /// most one of these and a round trip.
+    /// Interval between two digests to a home where requests wait. A lost message is detected
+    /// after at most one interval and a round trip.
     Base::Duration digestInterval = std::chrono::milliseconds(500);
-    /// Digests without a reply after which a home counts as gone: one may be lost.
+    /// Number of consecutive digests without a reply that is still tolerated; at the next due
+    /// digest the home counts as unresponsive. More than one, because a single message may be lost.
     int maxUnansweredDigests = 2;
 };
 
-/// The entry side's watch over the homes at which its requests wait.
+/// Monitors the homes at which the requests of this entry host wait for permits.
 ///
-/// Guards against a home that is frozen, cut off or restarted, and against lost messages:
-/// without it such a request would wait for ever while nobody knows of it. A digest per home
-/// costs the same however many requests wait.
+/// The monitor detects homes that are frozen, cut off or restarted, and lost messages. Without it
+/// a request could wait forever while no home knows it. The entry host sends one digest per home,
+/// pool and shard, whose size does not depend on the number of waiting requests.
 class HomeMonitor
 {
 public:
@@ -41,9 +42,9 @@
 
     struct Difference
     {
-        /// Waiting here, unknown there.
+        /// Attempts that wait at this entry host but are unknown to the home.
         std::vector<AttemptId> missing;
-        /// Waiting there, not wanted here.
+        /// Attempts that wait at the home but no longer at this entry host.
         std::vector<AttemptId> unwanted;
     };
 
@@ -57,18 +58,20 @@
 
     void add(const ShardHome &shardHome, const AttemptId &attempt, Base::TimePoint now);
     void remove(const ShardHome &shardHome, const AttemptId &attempt);
+    /// Compares the reply of \a home to the latest digest with the waiting attempts. A reply to an
+    /// older digest gives no difference.
     Difference compare(const Base::HostId &home, const WaitingReply &reply);
 
-    /// Digests due at \a now.
+    /// Returns the digests that are due at \a now.
     std::vector<Digest> takeDigests(Base::TimePoint now);
-    /// Homes that left too many digests unanswered; told once.
+    /// Returns each home that left too many digests unanswered, once.
     std::vector<Base::HostId> takeUnresponsiveHomes();
 
 private:
     struct WaitState
     {
         WaitingSet waiting;
-        /// What was waiting when the last digest was made.
+        /// The attempts that the last digest covered.
         std::vector<AttemptId> digested;
         std::uint64_t number = 0;
         int unanswered = 0;
