--- a/src/libs/node/homeorders.h
+++ b/src/libs/node/homeorders.h
@@ -10,19 +10,20 @@
 
 namespace Node {
 
-/// The order of homes of each shard under the present view of the routers.
+/// Caches the order of homes of each pool shard for the current view of the routers.
 ///
-/// Worked out once for each view: hashing all routers anew for every request cost 4% of a core
-/// with 128 routers under load (docs/CAPACITY.md).
+/// The first router in the order is the home of the shard, the second its standby. The order is
+/// computed once per view, because hashing all routers for every request takes 4% of a core with
+/// 128 routers under load.
 class HomeOrderCache
 {
 public:
-    /// \a membership outlives the object.
+    /// \a membership must outlive this object.
     explicit HomeOrderCache(const Coordination::Membership &membership);
 
-    /// The home first, its standby second; empty while no router is usable.
+    /// Returns the routers in order, the home first; empty while no router is usable.
     const std::vector<Base::HostId> &order(const Base::PoolId &pool, std::uint32_t shard) const;
-    /// The home of a shard; this router itself while no router is usable.
+    /// Returns the home of a shard, or this router while no router is usable.
     Base::HostId home(const Base::PoolId &pool, std::uint32_t shard) const;
 
 private:
