--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -53,8 +53,8 @@
     OpenRequest &added = m_open[key] = open;
     m_byCaller[asked.caller] = key;
 
-    // Until the configuration and the list of hosts are known, a missing model is no reason to
-    // report it as unknown.
+    // A process that has just started must not report a model as unknown, because it may not yet
+    // have its configuration or the list of hosts.
     if (!m_context.configuration.isReady() || !m_context.directory.isKnown()) {
         Failure failure =
             makeFailure(FailureType::NotReady, "no configuration or list of hosts yet");
--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -45,8 +45,9 @@
 /// request is sent to the home. Therefore no request is lost when another router fails, and only
 /// the entry host knows whether a byte of the request was sent to a backend server.
 ///
-/// Work that is not repeatable needs a claim: a row in the table that lets one router at a time
-/// run the call with a given idempotency key. Its fence is a number that grows with each claim.
+/// Work that is not repeatable needs a claim: a row in the table which ensures that at most one
+/// router sends the call with a given idempotency key. The fence of a claim is a number that grows
+/// with each owner of the key.
 class EntryRequests
 {
 public:
