--- a/src/libs/node/poolhome.h
+++ b/src/libs/node/poolhome.h
@@ -106,8 +106,7 @@
         Base::ServerId server;
         Base::CustomerId customer;
         Base::ClassId workClass;
-        /// The part of the expected cost that is still held against the customer's account and
-        /// not yet charged.
+        /// The estimated cost that is held against the customer's account and not yet charged.
         Base::ServiceUnits held = 0;
         /// Cost expected from the caller's hints; 0 if this home does not know it.
         Base::ServiceUnits expected = 0;
@@ -125,7 +124,7 @@
     /// Median over the servers of their minimum time to first token; empty if fewer than two
     /// servers have one.
     std::optional<Base::Duration> medianTimeToFirstToken() const;
-    /// Grants permits in queue order until no server has a free permit or no work may go.
+    /// Grants permits in queue order until no server has a free permit or no work waits.
     void dispatch(Base::TimePoint now);
     std::vector<Scheduling::ServerCandidate> serversWithFreePermits() const;
     void grant(const Scheduling::WaitingWork &work, const Base::ServerId &server,
