--- a/src/libs/node/poolhomes.h
+++ b/src/libs/node/poolhomes.h
@@ -55,8 +55,8 @@
     PoolHome *home(const Base::PoolId &pool, std::uint32_t shard);
     const std::map<Key, std::unique_ptr<PoolHome>> &all() const { return m_homes; }
 
-    /// Merges a ledger delta of another router. Replies with a snapshot if the sender requests one
-    /// or was folded out of this ledger.
+    /// Merges a ledger delta of another router. Replies with a snapshot if the sender requests one,
+    /// or if its counters are already closed (folded) in this ledger.
     void merge(const Base::HostId &from, const Coordination::LedgerDelta &delta);
     void answerDigest(const Base::HostId &from, const WaitingDigest &digest);
     /// Hands over work to an idle shard that asks for it; replies even if there is none.
