--- a/src/libs/node/openrequest.h
+++ b/src/libs/node/openrequest.h
@@ -43,7 +43,7 @@
     /// The attempt that the current permit was granted for. A resumed stream keeps its permit, so
     /// this may be an earlier attempt than the current one.
     AttemptId permit;
-    /// While Pausing: what comes next, and when.
+    /// Next step and its time; valid only in the state BackingOff.
     Scheduling::RetryStep nextRetryStep = Scheduling::RetryStep::GiveUp;
     Base::TimePoint nextRetryStepAt;
     /// Fencing token of the claim; 0 if there is none.
