--- a/src/libs/node/attempt.cpp
+++ b/src/libs/node/attempt.cpp
@@ -48,8 +48,8 @@
     Scheduling::FailedAttempt attempt;
     attempt.ran = toAttemptExecution(failed.sent);
     attempt.isRepeatable = open.asked.isRepeatable;
-    // The status of a service's answer is part of it; a model's stream begins with its first
-    // part.
+    // The answer of a service starts with its status, which is already sent to the caller. The
+    // stream of a model starts with its first part.
     const bool isService = open.asked.kind == WorkKind::ServiceCall;
     attempt.isAnswerStarted = open.nextPart > 0 || (isService && open.isAnswerStarted);
     attempt.isStreamResumable =
--- a/src/libs/node/attempt.h
+++ b/src/libs/node/attempt.h
@@ -9,10 +9,11 @@
 
 struct Server;
 
-/// What is sent for the request's current attempt; a stream that has begun is asked to go on.
+/// Returns the request to send to \a server for the current attempt. If parts of a stream have
+/// already arrived, it requests to resume the stream after them.
 BackendRequest backendRequest(const OpenRequest &open, const Server &server);
 
-/// What the retry policy looks at after an attempt has failed.
+/// Returns the input of the retry policy for a failed attempt.
 Scheduling::FailedAttempt failedAttempt(const OpenRequest &open, const BackendFailed &failed,
                                         Base::TimePoint now);
 
