--- a/src/libs/node/backendclient.h
+++ b/src/libs/node/backendclient.h
@@ -11,7 +11,7 @@
 
 namespace Node {
 
-/// One attempt at one request. An answer that names an older attempt is dropped.
+/// Identifies one attempt of one request. An answer to an older attempt is dropped.
 struct AttemptId
 {
     Base::RequestKey request;
@@ -23,12 +23,12 @@
 
 enum class WorkKind { ChatCompletion, ServiceCall };
 
-/// What is sent to a backend server.
+/// One attempt as it is sent to a backend server.
 struct BackendRequest
 {
     AttemptId attempt;
     Base::ServerId server;
-    /// "IP:PORT".
+    /// Address of the server as "IP:PORT".
     std::string address;
     WorkKind kind = WorkKind::ChatCompletion;
     /// Path of a service call, with a leading slash.
@@ -36,32 +36,36 @@
     std::string contentType;
     std::string body;
     std::string traceparent;
-    /// Idempotency key of work that is not repeatable; passed on to the server.
+    /// Idempotency key of work that is not repeatable. It is forwarded to the server.
     std::string idempotencyKey;
-    /// Fencing number of a claim; 0 when there is none.
+    /// Fencing token of the claim; 0 if the work has no claim. A server can reject work that
+    /// carries an older token.
     std::uint64_t fence = 0;
-    /// With a stream that is resumed: the stream's name at the server and the first event wanted.
+    /// Name of the stream at the server if a stream is resumed; else empty.
     std::string resumeStream;
+    /// Index of the first event to send again.
     std::uint64_t resumeFrom = 0;
 };
 
+/// How far a failed attempt got.
 enum class SendState {
-    NeverSent, ///< Not one byte of the request left: it certainly did not run.
-    Refused,   ///< The server said that it did not run it.
-    MaybeRan,  ///< It was sent, wholly or in part.
+    NeverSent, ///< No byte of the request was sent, so it did not run.
+    Refused,   ///< The server reported that it did not run the request.
+    MaybeRan,  ///< The request was sent in whole or in part, so it may have run.
 };
 
 /// One event of a model's stream or one piece of a service's answer.
 struct BackendPart
 {
     AttemptId attempt;
-    /// Place in the stream, from 0; a part that is not the next one is dropped.
+    /// Index in the stream, from 0. A part that is not the next one is dropped.
     std::uint64_t index = 0;
     std::string payload;
     /// Weighed tokens that this part adds to the service received.
     Base::ServiceUnits units = 0;
 };
 
+/// Start of an answer: status and headers.
 struct BackendHead
 {
     AttemptId attempt;
@@ -71,13 +75,15 @@
     std::string streamName;
 };
 
+/// Successful end of an answer.
 struct BackendFinished
 {
     AttemptId attempt;
-    /// Parts of the whole answer, for a check that none is missing.
+    /// Number of parts of the whole answer, to detect missing ones.
     std::uint64_t parts = 0;
 };
 
+/// Failed end of an attempt.
 struct BackendFailed
 {
     AttemptId attempt;
@@ -87,6 +93,7 @@
     std::optional<Base::Milliseconds> retryAfter;
 };
 
+/// Result of polling the load of a server.
 struct BackendLoad
 {
     Base::ServerId server;
@@ -94,18 +101,18 @@
     Scheduling::LoadReport report;
 };
 
-/// Sends work to backend servers. Calls return at once; a send is followed by at most one
-/// BackendHead, its parts, and exactly one BackendFinished or BackendFailed.
+/// Sends work to backend servers. All calls return immediately. Each send() is followed by at most
+/// one BackendHead, any number of BackendPart, and exactly one BackendFinished or BackendFailed.
 class BackendClient
 {
 public:
     virtual ~BackendClient() = default;
     virtual void send(const BackendRequest &request) = 0;
     virtual void cancel(const AttemptId &attempt) = 0;
-    /// Stops and restarts reading of the answer: back pressure from a slow caller.
+    /// Stops reading the answer, as backpressure from a slow caller; resume() continues it.
     virtual void pause(const AttemptId &attempt) = 0;
     virtual void resume(const AttemptId &attempt) = 0;
-    /// Followed by one BackendLoad.
+    /// Requests the load of a server. One BackendLoad follows.
     virtual void pollLoad(const Base::ServerId &server, const std::string &address) = 0;
 };
 
