--- a/src/libs/node/environment.h
+++ b/src/libs/node/environment.h
@@ -11,7 +11,7 @@
 
 namespace Node {
 
-/// Calendar time, only for retention of claims.
+/// Provides calendar time. It is used only for the retention of claims.
 class WallClock
 {
 public:
@@ -19,7 +19,7 @@
     virtual Base::WallTime now() const = 0;
 };
 
-/// Everything a node reaches outside itself. The objects outlive the node.
+/// All external interfaces of a node. The objects must outlive the node.
 struct Environment
 {
     CallerPort &callers;
