--- a/src/libs/node/event.h
+++ b/src/libs/node/event.h
@@ -17,76 +17,81 @@
 
 namespace Node {
 
-/// A caller's request, parsed as far as HTTP goes.
+/// A caller's request, parsed from HTTP but not yet authenticated.
 struct CallerRequest
 {
     CallerId caller = 0;
     WorkKind kind = WorkKind::ChatCompletion;
     /// Model or service name.
     std::string target;
-    /// Of a service call, with a leading slash.
+    /// Path of a service call, with a leading slash.
     std::string path;
     std::string contentType;
     std::string body;
     bool isStreaming = false;
-    /// SHA-256 of the bearer key in lower-case hex; empty if there was none.
+    /// SHA-256 of the bearer key in lower-case hexadecimal; empty if the caller sent no key.
     std::string keyDigest;
     Base::ClassId workClass;
     bool isRepeatable = true;
     std::string idempotencyKey;
     std::optional<Base::Milliseconds> deadline;
     std::string traceparent;
-    /// Rough number of prompt tokens.
+    /// Estimated number of prompt tokens.
     std::uint64_t promptTokens = 0;
-    /// The caller's own limit on generated tokens; 0 if it gave none.
+    /// The caller's limit on generated tokens; 0 if it set none.
     std::uint64_t maxTokens = 0;
-    /// Hash of the prompt's start; 0 if there is no prompt.
+    /// Hash of the start of the prompt; 0 if there is no prompt.
     std::uint64_t prefix = 0;
 };
 
-/// The caller hung up.
+/// The caller closed its connection.
 struct CallerGone
 {
     CallerId caller = 0;
 };
 
-/// The caller reads slower than its answer comes: its buffer is full.
+/// The caller's output buffer is full, because it reads more slowly than its answer arrives.
 struct CallerBlocked
 {
     CallerId caller = 0;
 };
 
-/// The caller's buffer has room again.
+/// The caller's output buffer has room again.
 struct CallerReady
 {
     CallerId caller = 0;
 };
 
+/// A caller requested the list of entry hosts.
 struct EntryHostsAsked
 {
     CallerId caller = 0;
-    /// The caller's availability zone if it said so; else this process's own.
+    /// Availability zone of the caller; if empty, that of this process is used.
     Base::ZoneId zone;
 };
 
+/// An operator requested the targets of all classes of work.
 struct TargetsAsked
 {
     CallerId caller = 0;
 };
 
+/// An operator requested to change the target of a class of work.
 struct TargetWriteAsked
 {
     CallerId caller = 0;
     Settings::ClassTarget target;
-    /// From If-Match.
+    /// Version that the change is based on, from the If-Match header.
     Settings::ConfigurationVersion seen = 0;
 };
 
+/// An operator requested the status of this node.
 struct StatusAsked
 {
     CallerId caller = 0;
 };
 
+/// A message of another router arrived.
 struct PeerMessageArrived
 {
     Base::HostId from;
@@ -94,18 +99,20 @@
     PeerMessage message;
 };
 
-/// A message to \a host could not be delivered, or its connection was cut.
+/// A message to \a host could not be delivered, or the connection to it broke.
 struct PeerUnreachable
 {
     Base::HostId host;
 };
 
+/// The platform's list of hosts arrived.
 struct HostListArrived
 {
     Storage::HostListing listing;
 };
 
-/// The platform's agent told this process to leave: finish everything, take nothing new.
+/// The platform requested a graceful shutdown: the process finishes its open requests and takes
+/// no new ones.
 struct ShutdownAsked
 {};
 
