--- a/src/libs/node/callerport.h
+++ b/src/libs/node/callerport.h
@@ -15,7 +15,7 @@
 /// Identifies the open request of one caller; assigned by the daemon.
 using CallerId = std::uint64_t;
 
-/// Reason why a request got no answer from a backend server.
+/// Kind of a failure that is reported to a caller or an operator.
 enum class FailureType {
     BadRequest,
     Unauthorized,
