--- a/src/libs/node/failures.h
+++ b/src/libs/node/failures.h
@@ -7,9 +7,9 @@
 
 namespace Node {
 
-/// A failure after which nothing ran.
+/// Returns a failure of a request whose work did not run.
 Failure makeFailure(FailureType type, std::string message);
-/// What the caller is told when its home turned it away.
+/// Returns the failure that a caller gets when the home refuses its permit request.
 Failure makeFailure(const PermitRefusal &refusal);
 
 } // namespace Node
