--- a/src/libs/node/nodeconstants.h
+++ b/src/libs/node/nodeconstants.h
@@ -7,15 +7,17 @@
 
 namespace Node {
 
+/// The name of a pool is one of these prefixes followed by the name of the model or service.
 inline constexpr const char *modelPoolPrefix = "model/";
 inline constexpr const char *servicePoolPrefix = "service/";
-/// Not a pool of servers: its home is the router that deletes old claims.
+/// A reserved pool name without servers. The home of this pool is the router that deletes old
+/// claims.
 inline constexpr const char *claimSweepPool = "claims/sweep";
 
-/// A generated token costs an engine about this many prompt tokens: a prompt is computed in
-/// large batches, generation a token at a time.
+/// Cost of a generated token in prompt tokens. An engine computes a prompt in large batches but
+/// generates one token at a time.
 inline constexpr std::uint64_t generatedTokenWeight = 4;
-/// Generated tokens assumed of work whose caller gave no limit, or a larger one.
+/// Number of generated tokens assumed for work whose caller set no limit or a larger one.
 inline constexpr std::uint64_t maxAssumedGeneratedTokens = 256;
 
 inline constexpr Base::Milliseconds notReadyRetryAfter{1000};
@@ -23,23 +25,27 @@
 inline constexpr Base::Milliseconds claimRetryAfter{2000};
 inline constexpr Base::Milliseconds backendRetryAfter{1000};
 
-/// A backend server that says nothing for this long has failed the request. Far above the wait
-/// in a server's own queue, which permits keep short.
+/// An attempt fails if the backend server sends nothing for this long. The value is far above the
+/// time in the queue of a backend server, which the permit limits keep short.
 inline constexpr Base::Duration backendIdleTimeout = std::chrono::seconds(20);
-/// How long a leaving process waits for the table to take the ends of its claims.
+/// How long a process that shuts down waits for the ends of its claims to be written to the
+/// table.
 inline constexpr Base::Duration claimSettleTimeout = std::chrono::seconds(10);
-/// How often time-driven state of homes (deadlines, limiters) is looked at.
+/// Interval at which homes update their time-driven state: deadlines, concurrency limits, permit
+/// queries.
 inline constexpr Base::Duration homeAdvanceInterval = std::chrono::milliseconds(50);
-/// How often open requests are looked through for deadlines and silence.
+/// Interval at which open requests are checked for passed deadlines, idle backend servers and due
+/// retries.
 inline constexpr Base::Duration openRequestCheckInterval = std::chrono::milliseconds(100);
 
-/// HTTP status of a model server that does not have the stream to be resumed.
+/// HTTP status with which a model server reports that it does not know the stream to resume.
 inline constexpr int streamUnknownStatus = 404;
 
-/// Customers in one ledger delta, those with the largest unsent charge first: about 2 KB, so
-/// that a delta to five receivers fits into what the traffic budget leaves for one burst.
+/// Maximum number of customers in one ledger delta; those with the largest unsent charge come
+/// first. A full delta has about 2 KB, so that sending it to five receivers fits into one burst of
+/// the traffic budget.
 inline constexpr std::size_t ledgerEntriesPerDelta = 100;
-/// Largest number of configuration changes in one message to a peer.
+/// Maximum number of configuration changes in one message to a peer.
 inline constexpr std::size_t changesPerPush = 200;
 
 } // namespace Node
