--- a/src/libs/node/nodesettings.h
+++ b/src/libs/node/nodesettings.h
@@ -20,8 +20,8 @@
 
 namespace Node {
 
-/// What one node is started with. The defaults are the product's; docs/design/ has the
-/// reasons.
+/// Settings of one node. The defaults are the production values; docs/design/ holds their
+/// derivations.
 struct NodeSettings
 {
     Coordination::RouterIdentity self;
@@ -40,11 +40,12 @@
     Scheduling::RetryPolicyLimits retryPolicy;
     Scheduling::ShardSelectorPolicy shardSelector;
 
-    /// How long callers may keep an entry list.
+    /// How long callers may keep a list of entry hosts.
     std::chrono::seconds entryListMaxAge{10};
     Base::Duration loadPollInterval = std::chrono::milliseconds(500);
     Base::Duration ledgerInterval = std::chrono::milliseconds(500);
-    /// Charged to the home while a stream runs, each time this much service is uncharged.
+    /// While a stream runs, the entry host reports its service to the home each time this many
+    /// weighed tokens are not yet reported.
     Base::ServiceUnits chargeStep = 500;
 };
 
