--- a/src/libs/node/outbox.h
+++ b/src/libs/node/outbox.h
@@ -5,7 +5,8 @@
 
 namespace Node {
 
-/// Where the parts of a node leave messages for routers, this one included.
+/// Accepts messages of the node's components to routers. A message to this router is delivered
+/// locally.
 class Outbox
 {
 public:
--- a/src/libs/node/peertransport.h
+++ b/src/libs/node/peertransport.h
@@ -8,15 +8,16 @@
 
 namespace Node {
 
-/// Carries messages between routers. Delivery is not certain: a message may be lost, late or
-/// doubled, and the node copes with each.
+/// Sends messages to other routers. Delivery is not reliable: a message may be lost, late or
+/// duplicated, and the node handles each case.
 class PeerTransport
 {
 public:
     virtual ~PeerTransport() = default;
     virtual void send(const Base::HostId &to, const std::string &address,
                       const PeerMessage &message) = 0;
-    /// At least 1; by how much exchanges that can wait are to stretch their interval now.
+    /// Factor, at least 1, by which deferrable periodic messages must lengthen their interval now
+    /// to stay within the traffic budget.
     virtual double stretch(Base::TimePoint) const { return 1; }
 };
 
