--- a/src/libs/node/requestrecorder.h
+++ b/src/libs/node/requestrecorder.h
@@ -9,7 +9,7 @@
 
 namespace Node {
 
-/// Tells the observer of the hops and the end of the requests of one entry host.
+/// Reports the hops and the end of the requests of one entry host to the observer.
 class RequestRecorder
 {
 public:
@@ -17,7 +17,8 @@
 
     void recordHop(const OpenRequest &open, Hop hop, Base::TimePoint begin, Base::TimePoint end,
                    const std::string &place, bool isFailed);
-    /// \a failure is null if the answer came whole or the caller left.
+    /// Reports the end of a request. \a failure is null if the answer is complete or the caller
+    /// disconnected.
     void recordEnd(const OpenRequest &open, const Failure *failure, Base::TimePoint now);
 
 private:
--- a/src/libs/node/requesttraits.h
+++ b/src/libs/node/requesttraits.h
@@ -7,11 +7,13 @@
 
 namespace Node {
 
-/// The pool whose servers can run the request.
+/// Returns the pool whose backend servers can run the request.
 Base::PoolId poolOf(const CallerRequest &asked);
-/// Rough cost in weighed tokens, from the hints that came with the request.
+/// Returns the estimated cost in weighed tokens, from the number of prompt tokens and the caller's
+/// limit on generated tokens.
 Base::ServiceUnits expectedCost(const CallerRequest &asked);
-/// Hash of all that makes two calls with one idempotency key the same call.
+/// Returns a hash of target, path and body. Two calls with one idempotency key count as the same
+/// call only if these hashes are equal.
 std::uint64_t contentHash(const CallerRequest &asked);
 
 } // namespace Node
--- a/src/libs/node/storedanswer.h
+++ b/src/libs/node/storedanswer.h
@@ -7,7 +7,8 @@
 
 namespace Node {
 
-/// The answer of work that is not repeatable, as its claim keeps it for a repeat of the call.
+/// The answer of work that is not repeatable. It is stored with the claim, so that a repeated call
+/// gets the same answer.
 struct StoredAnswer
 {
     int status = 200;
@@ -18,12 +19,14 @@
     bool operator==(const StoredAnswer &) const = default;
 };
 
-/// A stored answer whose text cannot be read.
+/// Error of decodeAnswer(): the text is not a stored answer.
 struct MalformedAnswer
 {};
 
+/// Returns the answer as JSON text.
 std::string encodeAnswer(const StoredAnswer &answer);
-/// Fails with MalformedAnswer; any bytes are safe.
+/// Parses the text of encodeAnswer(). Accepts any bytes; fails with MalformedAnswer if they are
+/// not a stored answer.
 Base::Result<StoredAnswer> decodeAnswer(const std::string &text);
 
 } // namespace Node
--- a/src/libs/node/waitingset.h
+++ b/src/libs/node/waitingset.h
@@ -8,14 +8,14 @@
 
 namespace Node {
 
-/// The attempts that wait at one home for one entry host, with a hash over them that does not
-/// depend on their order. Both sides keep one and compare count and hash.
+/// The attempts of one entry host that wait at one home, with a hash that does not depend on their
+/// order. Both hosts keep such a set and compare its count and hash.
 class WaitingSet
 {
 public:
     /// Returns whether the attempt is new.
     bool add(const AttemptId &attempt);
-    /// Returns whether the attempt was there.
+    /// Returns whether the set contained the attempt.
     bool remove(const AttemptId &attempt);
     bool contains(const AttemptId &attempt) const { return m_attempts.count(attempt) > 0; }
 
