--- a/src/libs/node/serverdirectory.h
+++ b/src/libs/node/serverdirectory.h
@@ -28,18 +28,21 @@
 class ServerDirectory
 {
 public:
-    /// Takes a newer listing; an older one is left. Returns whether it was taken.
+    /// Replaces the servers by those of \a listing unless it is older than the current one. Returns
+    /// whether it was used.
     bool update(const Storage::HostListing &listing);
-    /// Marks servers that \a membership knows to be leaving.
+    /// Marks the servers that are leaving according to \a membership.
     void markLeaving(const Coordination::Membership &membership);
 
-    /// Whether a listing has come since the start.
+    /// Returns whether a listing has arrived since the start of the process.
     bool isKnown() const { return m_version > 0; }
+    /// Returns the server, or null if it is not listed.
     const Server *server(const Base::ServerId &id) const;
     const std::map<Base::PoolId, std::vector<Base::ServerId>> &pools() const { return m_pools; }
     bool hasPool(const Base::PoolId &pool) const { return m_pools.count(pool) > 0; }
+    /// Returns the number of shards of a pool, at least 1.
     std::uint32_t shards(const Base::PoolId &pool) const;
-    /// The servers of one shard that new work may go to.
+    /// Returns the servers of one shard that may get new work.
     std::vector<const Server *> usable(const Base::PoolId &pool, std::uint32_t shard) const;
 
 private:
