--- a/src/libs/node/peermessage.h
+++ b/src/libs/node/peermessage.h
@@ -17,8 +17,9 @@
 
 namespace Node {
 
-/// Entry to home: this request waits; give it a permit. Sent again when the home changes;
-/// a home that knows the attempt already ignores it.
+/// Sent by the entry host to the home to request a permit. It is sent again when the home changes.
+/// A home ignores it if the attempt already waits there, and repeats the grant if it already has a
+/// permit.
 struct PermitRequest
 {
     AttemptId attempt;
@@ -26,11 +27,11 @@
     std::uint32_t shard = 0;
     Base::CustomerId customer;
     Base::ClassId workClass;
-    /// How long the caller has waited so far.
+    /// Time since the request arrived at the entry host.
     Base::Milliseconds waited{0};
-    /// Left of the class's start target; negative once it is missed.
+    /// Time left until the start target of the class; negative once the target is missed.
     Base::Milliseconds startWithin{0};
-    /// Left of the caller's deadline.
+    /// Time left until the caller's deadline.
     std::optional<Base::Milliseconds> deadlineWithin;
     Base::ServiceUnits expectedCost = 0;
     std::uint64_t prefix = 0;
@@ -38,7 +39,7 @@
     bool operator==(const PermitRequest &) const = default;
 };
 
-/// Home to entry: send the attempt to this server now.
+/// Sent by the home to the entry host to grant a permit: the attempt may be sent to this server.
 struct PermitGrant
 {
     AttemptId attempt;
@@ -49,7 +50,7 @@
     bool operator==(const PermitGrant &) const = default;
 };
 
-/// Home to entry: the final word on an attempt that gets no permit.
+/// Sent by the home to the entry host: the attempt gets no permit.
 struct PermitRefusal
 {
     AttemptId attempt;
@@ -59,7 +60,8 @@
     bool operator==(const PermitRefusal &) const = default;
 };
 
-/// Entry to home: the caller left before a permit came.
+/// Sent by the entry host to the home: the attempt no longer needs a permit, for example because
+/// the caller disconnected.
 struct PermitCancel
 {
     AttemptId attempt;
@@ -69,7 +71,8 @@
     bool operator==(const PermitCancel &) const = default;
 };
 
-/// Entry to home: the permit is free again, and what its use showed.
+/// Sent by the entry host to the home: the permit is free again. Reports the outcome, the times
+/// and the service received.
 struct PermitRelease
 {
     AttemptId attempt;
@@ -79,14 +82,14 @@
     Scheduling::PermitOutcome outcome = Scheduling::PermitOutcome::Completed;
     std::optional<Base::Milliseconds> firstToken;
     Base::Milliseconds whole{0};
-    /// All service received under the permit. A total, so that a lost charge is made good by the
-    /// next.
+    /// All service received under the permit. It is a total, so that a lost ServiceCharge does not
+    /// matter.
     Base::ServiceUnits units = 0;
 
     bool operator==(const PermitRelease &) const = default;
 };
 
-/// Entry to home: service received under a permit that is still in use.
+/// Sent by the entry host to the home: service received under a permit that is still in use.
 struct ServiceCharge
 {
     AttemptId attempt;
@@ -98,7 +101,7 @@
     bool operator==(const ServiceCharge &) const = default;
 };
 
-/// Entry to a new home: a permit that an earlier home gave and that is in use.
+/// Sent by the entry host to a new home: a permit that an earlier home granted is still in use.
 struct PermitHeld
 {
     AttemptId attempt;
@@ -107,13 +110,14 @@
     Base::ServerId server;
     Base::CustomerId customer;
     Base::ClassId workClass;
-    /// What was charged to the earlier home.
+    /// Service already reported to the earlier home.
     Base::ServiceUnits units = 0;
 
     bool operator==(const PermitHeld &) const = default;
 };
 
-/// Home to entry: are these still in use? Answered with a release for those that are not.
+/// Sent by the home to the entry host to query whether permits are still in use. The entry host
+/// replies with a PermitRelease for each one that is not.
 struct PermitQuery
 {
     std::vector<AttemptId> attempts;
@@ -123,8 +127,9 @@
     bool operator==(const PermitQuery &) const = default;
 };
 
-/// Entry to home, while requests wait there: what the entry believes to be waiting, as a count
-/// and a hash. Finds permit requests and grants that were lost, and a home that is gone.
+/// Sent periodically by the entry host to a home where its requests wait: the count and a hash of
+/// the attempts that it expects to wait there. It detects lost permit requests, lost grants and a
+/// failed home.
 struct WaitingDigest
 {
     Base::PoolId pool;
@@ -132,14 +137,14 @@
     /// Serial number of the digest; the reply repeats it.
     std::uint64_t number = 0;
     std::uint32_t count = 0;
-    /// Of all waiting attempts, whatever their order.
+    /// Hash of all waiting attempts; it does not depend on their order.
     std::uint64_t hash = 0;
 
     bool operator==(const WaitingDigest &) const = default;
 };
 
-/// Home to entry: whether the digest matches; if not, what waits here for that entry, so that
-/// only what is missing is asked for again.
+/// Sent by the home in reply to a WaitingDigest: whether the digest matches. If not, it lists the
+/// attempts that wait for that entry host, so that only missing ones are requested again.
 struct WaitingReply
 {
     Base::PoolId pool;
@@ -151,7 +156,8 @@
     bool operator==(const WaitingReply &) const = default;
 };
 
-/// Changes that the receiver lacks, as its heartbeat showed.
+/// Configuration changes that the receiver lacks, according to the version in its heartbeat or
+/// pull.
 struct ConfigurationPush
 {
     std::vector<Settings::ConfigurationChange> changes;
@@ -159,7 +165,7 @@
     bool operator==(const ConfigurationPush &) const = default;
 };
 
-/// The whole configuration, for a receiver too far behind for changes.
+/// The whole configuration, for a receiver that is too far behind for single changes.
 struct ConfigurationSnapshot
 {
     Settings::Configuration configuration;
@@ -167,7 +173,7 @@
     bool operator==(const ConfigurationSnapshot &) const = default;
 };
 
-/// Asks for the configuration after \a version; sent by a router that starts cold.
+/// Requests the configuration changes after \a version.
 struct ConfigurationPull
 {
     Settings::ConfigurationVersion version = 0;
@@ -175,26 +181,30 @@
     bool operator==(const ConfigurationPull &) const = default;
 };
 
-/// Home to home: permits are free at \a asker, a shard of the same pool; hand over work.
+/// Sent by the home of an idle shard to the home of another shard of the same pool, to request
+/// waiting work.
 struct WorkAsk
 {
     Base::PoolId pool;
-    /// The shard that is asked.
+    /// The shard that is to hand over work.
     std::uint32_t shard = 0;
+    /// The idle shard that requests work.
     std::uint32_t asker = 0;
+    /// Number of requests that it can take.
     std::uint32_t count = 0;
 
     bool operator==(const WorkAsk &) const = default;
 };
 
-/// Home to home: these requests are yours to give permits to; answer their entries directly.
+/// Sent by one home to another: the receiver takes over these permit requests and replies directly
+/// to their entry hosts.
 struct WorkHandover
 {
     Base::PoolId pool;
     /// The shard that takes the requests.
     std::uint32_t shard = 0;
     std::uint32_t from = 0;
-    /// Whether it answers a WorkAsk; then it comes even when there is nothing to hand over.
+    /// Whether it replies to a WorkAsk. Such a reply is sent even if there is nothing to hand over.
     bool isAnswer = false;
     std::vector<PermitRequest> requests;
 
@@ -207,7 +217,7 @@
                  Coordination::LedgerDelta, ConfigurationPush, ConfigurationSnapshot,
                  ConfigurationPull, WorkAsk, WorkHandover>;
 
-/// Under which kind the bytes of a message are counted.
+/// Returns the kind of traffic that the message counts as.
 Coordination::TrafficKind trafficKind(const PeerMessage &message);
 
 } // namespace Node
