--- a/src/libs/node/peermessage.h
+++ b/src/libs/node/peermessage.h
@@ -173,7 +173,8 @@
     bool operator==(const ConfigurationSnapshot &) const = default;
 };
 
-/// Requests the configuration changes after \a version.
+/// Requests the configuration changes after \a version. It is sent by a router that lacks the
+/// current configuration, for example after a cold start.
 struct ConfigurationPull
 {
     Settings::ConfigurationVersion version = 0;
