--- a/src/libs/node/nodeconstants.h
+++ b/src/libs/node/nodeconstants.h
@@ -42,8 +42,8 @@
 inline constexpr int streamUnknownStatus = 404;
 
 /// Maximum number of customers in one ledger delta; those with the largest unsent charge come
-/// first. A full delta has about 2 KB, so that sending it to five receivers fits into one burst of
-/// the traffic budget.
+/// first. A full delta has about 2 KB, so that sending it to five receivers fits into the part of
+/// the traffic budget that is free for one burst.
 inline constexpr std::size_t ledgerEntriesPerDelta = 100;
 /// Maximum number of configuration changes in one message to a peer.
 inline constexpr std::size_t changesPerPush = 200;
