--- a/tests/auto/node/tst_capacity.cpp
+++ b/tests/auto/node/tst_capacity.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Two shards of one pool, whose homes are mostly two routers.
+/// A pool of two shards, whose homes are two different routers with most seeds.
 VirtualFleet::FleetShape twoShards(std::uint64_t seed)
 {
     VirtualFleet::FleetShape shape;
@@ -22,7 +22,7 @@
     return shape;
 }
 
-/// All callers sit on one router.
+/// A workload whose callers are all connected to one router.
 Measure::WorkloadShape crowd(std::uint64_t seed, std::size_t openRequests)
 {
     Measure::WorkloadShape shape;
@@ -35,9 +35,10 @@
 
 } // namespace
 
-// A Saturday surge fills one entry host; servers homed elsewhere would stand idle while its work
-// waits, because only that router knows of the work.
-TEST_CASE("hardly a slot idles while work waits, with all callers on one router",
+// Guards against idle servers while work waits. This happens if all callers are connected to one
+// entry host and only that router knows of their work, while servers belong to shards with other
+// homes.
+TEST_CASE("at least 97% of slots are busy while work waits, with all callers on one router",
           "[node][capacity]")
 {
     rc::prop("two shards", [] {
@@ -49,9 +50,9 @@
     });
 }
 
-// The home of a shard dies with all the permits it gave; its servers would idle until somebody
-// notices. Slots stand idle for the time of the takeover and no longer.
-TEST_CASE("a killed home idles its servers no longer than a takeover", "[node][capacity]")
+// Guards against servers that stay idle after the home of their shard fails together with all the
+// permits it granted. Slots may be idle only until another router has taken over.
+TEST_CASE("servers of a killed home are idle no longer than a takeover", "[node][capacity]")
 {
     rc::prop("any router killed for good", [] {
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
@@ -60,14 +61,14 @@
         loaded.fleet.runFor(10s);
         loaded.fleet.kill(router);
         loaded.fleet.runFor(30s);
-        // 2.6 s of 40 for every slot at the most, and what stands in the case above.
+        // A takeover takes at most 2.6 s of the 40 s for each slot; 0.97 is the bound without one.
         RC_ASSERT(loaded.meter.utilisationWhileWaiting() >= 0.97 - 2.6 / 40);
     });
 }
 
-// An operator marks a server as leaving; its new work goes on because one router saw an old list,
-// or was cut off when the mark was told.
-TEST_CASE("a leaving server gets nothing new after five seconds", "[node][leaving]")
+// Guards against new work on a server that an operator has marked as leaving. This happens if a
+// router uses an old list of hosts, or was cut off while the mark was spread.
+TEST_CASE("a leaving server gets no new work after five seconds", "[node][leaving]")
 {
     rc::prop("with a router cut off from the others, and one started cold", [] {
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
