--- a/tests/auto/node/tst_fairness.cpp
+++ b/tests/auto/node/tst_fairness.cpp
@@ -12,16 +12,21 @@
 constexpr std::size_t servers = 3;
 constexpr std::size_t slots = 2;
 constexpr double permits = servers * slots;
-/// The mean costs are cut at four times: 4 * (50 + 4 * 25).
+/// Largest cost of a request in weighed tokens. The workload limits each cost to four times its
+/// mean: 4 * (50 + 4 * 25).
 constexpr double largestCost = 600;
-/// Tokens generated a second by all slots, weighed.
+/// Weighed tokens that all slots together generate per second.
 constexpr double poolRate = permits * 4 / 0.025;
-/// From a router's loss until another gives its permits: silence, digest and ledger interval.
+/// Time in seconds from the loss of a home until another router grants its permits: failure
+/// detection, digest interval and ledger interval.
 constexpr double takeover = 1.6 + 0.5 + 0.5;
 
-/// docs/design/queue-order.md: at any time one customer leads another by at most W + h + P * L.
-/// Over an interval it can go from as far behind to as far ahead. For each loss of a home
-/// comes what can be given before the next home has the account.
+/// Bound on the gap in received service between two backlogged customers, in weighed tokens.
+///
+/// At any time one customer leads another by at most W + h + P * L: the window, the largest held
+/// cost, and the largest cost for each permit (docs/design/queue-order.md). Over an interval a
+/// customer can go from that far behind to that far ahead. Each loss of a home adds the service
+/// that can be granted before the next home has the ledger.
 double bound(std::size_t losses)
 {
     const double window = static_cast<double>(Scheduling::FairQueuePolicy().window);
@@ -59,11 +64,11 @@
 
 } // namespace
 
-// A university sees its answers stop while a dealer's batch runs: the dealer's callers crowd two
-// routers with fifty times its backlog, a customer that was never there joins, messages between
-// routers are lost. Fair per router, each crowd would get its router's share and the gap would grow
-// with time.
-TEST_CASE("the gap between backlogged customers stays bounded over crowded and quiet routers",
+// Guards against fairness per router instead of over the whole fleet: each router would then give
+// its share to the customers connected to it, and the gap would grow with time. One customer loads
+// two routers with fifty times the backlog of the others, a new customer joins, and messages
+// between routers are lost.
+TEST_CASE("the gap between backlogged customers stays bounded over busy and quiet routers",
           "[node][fairness]")
 {
     rc::prop("with lost messages", [] {
@@ -76,8 +81,9 @@
     });
 }
 
-// A home router dies and comes back cold. Were the accounts lost with it, each loss would bring the
-// flooding customer a fresh start; were its work lost, the others would wait for ever.
+// Guards against state lost with a home that is killed and restarts without it. If the ledger were
+// lost, the service of the flooding customer would be forgotten with each kill. If the waiting
+// requests were lost, the other customers would wait forever.
 TEST_CASE("the gap stays bounded while routers are killed and start cold", "[node][fairness]")
 {
     rc::prop("two losses", [] {
@@ -96,15 +102,17 @@
     });
 }
 
-// A small customer gets nothing while its neighbour, fifty times larger, is served: service would
-// go by arrival, and the flood always arrives first.
-TEST_CASE("no backlogged customer waits longer than its written time", "[node][fairness]")
+// Guards against starvation of a small customer by one with fifty times its backlog, as it happens
+// if requests are served in order of arrival.
+TEST_CASE("no backlogged customer waits longer than the bound on the gap allows",
+          "[node][fairness]")
 {
     rc::prop("beside a flood", [] {
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
         Fakes::LoadedFleet loaded(shapeOf(seed), workloadOf(seed));
         std::vector<Base::ServiceUnits> before = loaded.meter.service();
-        // In this time the pool serves each of four customers the bound and a largest cost.
+        // In this time the pool can serve the bound plus one largest cost to each of the four
+        // customers.
         const auto longest = std::chrono::duration_cast<Base::Duration>(
             std::chrono::duration<double>(4 * (bound(0) + largestCost) / poolRate));
         for (int i = 0; i < 3; ++i) {
