--- a/tests/auto/node/tst_faults.cpp
+++ b/tests/auto/node/tst_faults.cpp
@@ -40,7 +40,8 @@
 };
 constexpr int faultKinds = 11;
 
-/// A fault that begins, lasts and is mended.
+/// A fault with its target, its start after the beginning of the load, and its duration. After
+/// that time the fault is repaired.
 struct FaultPlan
 {
     Fault fault = Fault::KillRouter;
@@ -80,8 +81,8 @@
         fleet.queue().after(fault.begins + fault.lasts, [this, fault] { apply(fault, false); });
     }
 
-    /// A steady stream of requests to all routers for ten seconds; every fifth is not
-    /// repeatable, and some of those are asked twice at two routers.
+    /// Sends a steady stream of requests to all routers for ten seconds. Every fifth request is not
+    /// repeatable, and every other one of those is sent to two routers.
     void load()
     {
         for (int i = 0; i < 160; ++i) {
@@ -154,7 +155,7 @@
     }
 };
 
-/// What must hold of every request whatever failed.
+/// Checks what must hold for each request under any fault.
 void checkAll(const Fakes::Witness &witness)
 {
     std::map<std::string, std::size_t> runsOfKey;
@@ -163,7 +164,7 @@
         if (!testimony.isRepeatable)
             runsOfKey[testimony.key] += runs;
         if (testimony.isFinished) {
-            // A repeat of a call with a key may get the stored answer of the first.
+            // A repeated call with an idempotency key may get the stored answer of the first call.
             RC_ASSERT(testimony.failures.empty());
             RC_ASSERT(!testimony.isRepeatable || testimony.isWhole());
         }
@@ -179,14 +180,15 @@
 
 } // namespace
 
-// A caller's stream stops for good, or it is told that nothing ran although a server worked on
-// it. One or two faults strike while requests flow: a router or server dies, freezes or is slow,
-// the network is cut or loses messages, the table is down or its answers are lost; each is mended
-// some seconds or a minute later, or never. Causes would be state that only a lost router knew, and
-// guesses about sends.
-TEST_CASE("every request gets one true final answer under two faults", "[node][faults]")
+// Guards against streams that stop without a final answer, and against the answer that nothing ran
+// although a server worked on the request. The causes are state that only a failed router had, and
+// guesses about whether a request was sent. Two faults occur while requests are sent: a router or
+// server fails, freezes or is slow, the network is cut or loses messages, the table is down or its
+// answers are lost. Each fault is repaired after some seconds or minutes, or not before the test
+// ends.
+TEST_CASE("every request gets exactly one correct final answer under two faults", "[node][faults]")
 {
-    rc::prop("alone, together and twice", [] {
+    rc::prop("with two random faults", [] {
         const auto faults = *rc::gen::container<std::vector<FaultPlan>>(2, anyFault());
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
         FaultyFleet faulty(seed);
