--- a/tests/auto/node/tst_guards.cpp
+++ b/tests/auto/node/tst_guards.cpp
@@ -6,11 +6,11 @@
 using RouterPair::chatRequest;
 using RouterPair::Pair;
 
-TEST_CASE("parts of an older attempt are not taken for the new one's", "[node]")
+TEST_CASE("parts of an older attempt are not used as parts of the new one", "[node]")
 {
-    // A caller sees the first words of one server's answer and the rest of another's. The first
-    // attempt was given up and sent again; then its answer came after all, late. Cause: the answer
-    // was matched by the request alone, and not by the number of the attempt.
+    // Guards against an answer that mixes parts of two backend servers. This happens if the late
+    // answer to an abandoned attempt is matched by its request alone and not also by the number of
+    // the attempt.
     Pair pair;
     Pair::Router &router = pair.router(0);
     router.node->handle(chatRequest(7), pair.now());
@@ -37,12 +37,12 @@
     CHECK(router.callers.logs[7].isFinished);
 }
 
-TEST_CASE("a router that wakes after its claim has lapsed sends nothing", "[node]")
+TEST_CASE("a router that resumes after its claim has lapsed sends nothing", "[node]")
 {
-    // A deposit is placed twice. The router that had claimed it was suspended before it sent it;
-    // the claim lapsed, another router took it over and ran it. Then the first one woke, got its
-    // permit, and sent it as well. Cause: the claim was looked at when it was taken, not when
-    // the work was sent.
+    // Guards against a call that runs twice. The router that claimed it is suspended before it
+    // sends it, its claim lapses, and another router runs the call. Then the first router resumes
+    // and gets its permit. It sends the call as well if it checks the claim only when it is taken
+    // and not again when the work is sent.
     for (const std::size_t entry : {0, 1}) {
         Pair pair;
         Pair::Router &router = pair.router(entry);
@@ -52,7 +52,7 @@
         request.idempotencyKey = "deposit";
         router.node->handle(request, pair.now());
         pair.settle();
-        // The router that is the pool's home itself has sent it before it was suspended.
+        // The router that is itself the home of the pool sends the work before it is suspended.
         if (!router.backends.sent.empty())
             continue;
         pair.suspend(120s);
