--- a/tests/auto/node/tst_wholepath.cpp
+++ b/tests/auto/node/tst_wholepath.cpp
@@ -6,7 +6,7 @@
 using RouterPair::chatRequest;
 using RouterPair::Pair;
 
-TEST_CASE("a request is answered whole through either router, home or not", "[node]")
+TEST_CASE("a request gets its whole answer through either router, home or not", "[node]")
 {
     for (const std::size_t entry : {0, 1}) {
         Pair pair;
@@ -45,10 +45,10 @@
     CHECK(router.callers.logs[2].failure->type == Node::FailureType::UnknownClass);
 }
 
-// A buyer's deposit is refused by the server, who says that it did not run; the buyer is told so
-// and asks again, and hears for a day that it may have run. The cause: the claim was left
-// standing because the work had been sent, though it is known that it did not run.
-TEST_CASE("a key whose work certainly did not run is free again", "[node]")
+// Guards against an idempotency key that stays claimed for a day although its work did not run.
+// This happens if the claim is kept because the work was sent, although the backend server refused
+// it and reported that it did not run. A repeated call would then be answered that it may have run.
+TEST_CASE("a key can be used again if its work certainly did not run", "[node]")
 {
     Pair pair;
     Pair::Router &router = pair.router(0);
