--- a/tests/auto/node/tst_capacity.cpp
+++ b/tests/auto/node/tst_capacity.cpp
@@ -23,7 +23,7 @@
 }
 
 /// A workload whose callers are all connected to one router.
-Measure::WorkloadShape crowd(std::uint64_t seed, std::size_t openRequests)
+Measure::WorkloadShape singleRouterWorkload(std::uint64_t seed, std::size_t openRequests)
 {
     Measure::WorkloadShape shape;
     shape.seed = seed;
@@ -43,7 +43,7 @@
 {
     rc::prop("two shards", [] {
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
-        Fakes::LoadedFleet loaded(twoShards(seed), crowd(seed, 60));
+        Fakes::LoadedFleet loaded(twoShards(seed), singleRouterWorkload(seed, 60));
         loaded.fleet.runFor(30s);
         RC_ASSERT(loaded.meter.waitingShare() > 0.9);
         RC_ASSERT(loaded.meter.utilisationWhileWaiting() >= 0.97);
@@ -57,7 +57,7 @@
     rc::prop("any router killed for good", [] {
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
         const auto router = *rc::gen::inRange<std::size_t>(1, 5);
-        Fakes::LoadedFleet loaded(twoShards(seed), crowd(seed, 60));
+        Fakes::LoadedFleet loaded(twoShards(seed), singleRouterWorkload(seed, 60));
         loaded.fleet.runFor(10s);
         loaded.fleet.kill(router);
         loaded.fleet.runFor(30s);
@@ -74,7 +74,7 @@
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000000);
         const auto cutOff = *rc::gen::inRange<std::size_t>(0, 5);
         const auto cold = *rc::gen::inRange<std::size_t>(0, 5);
-        Fakes::LoadedFleet loaded(twoShards(seed), crowd(seed, 60));
+        Fakes::LoadedFleet loaded(twoShards(seed), singleRouterWorkload(seed, 60));
         VirtualFleet::Fleet &fleet = loaded.fleet;
         const Base::ServerId leaving = std::next(fleet.servers().begin(), 7)->first;
         for (std::size_t other = 0; other < fleet.routers(); ++other) {
--- a/tests/auto/node/tst_fairness.cpp
+++ b/tests/auto/node/tst_fairness.cpp
@@ -14,12 +14,12 @@
 constexpr double permits = servers * slots;
 /// Largest cost of a request in weighed tokens. The workload limits each cost to four times its
 /// mean: 4 * (50 + 4 * 25).
-constexpr double largestCost = 600;
+constexpr double maxCost = 600;
 /// Weighed tokens that all slots together generate per second.
-constexpr double poolRate = permits * 4 / 0.025;
+constexpr double poolTokensPerSecond = permits * 4 / 0.025;
 /// Time in seconds from the loss of a home until another router grants its permits: failure
 /// detection, digest interval and ledger interval.
-constexpr double takeover = 1.6 + 0.5 + 0.5;
+constexpr double takeoverSeconds = 1.6 + 0.5 + 0.5;
 
 /// Bound on the gap in received service between two backlogged customers, in weighed tokens.
 ///
@@ -30,8 +30,10 @@
 double bound(std::size_t losses)
 {
     const double window = static_cast<double>(Scheduling::FairQueuePolicy().window);
-    const double lead = window + largestCost + permits * largestCost;
-    return 2 * lead + static_cast<double>(losses) * (poolRate * takeover + permits * largestCost);
+    const double lead = window + maxCost + permits * maxCost;
+    return 2 * lead
+           + static_cast<double>(losses)
+                 * (poolTokensPerSecond * takeoverSeconds + permits * maxCost);
 }
 
 VirtualFleet::FleetShape shapeOf(std::uint64_t seed)
@@ -114,7 +116,7 @@
         // In this time the pool can serve the bound plus one largest cost to each of the four
         // customers.
         const auto longest = std::chrono::duration_cast<Base::Duration>(
-            std::chrono::duration<double>(4 * (bound(0) + largestCost) / poolRate));
+            std::chrono::duration<double>(4 * (bound(0) + maxCost) / poolTokensPerSecond));
         for (int i = 0; i < 3; ++i) {
             loaded.fleet.runFor(longest);
             const std::vector<Base::ServiceUnits> after = loaded.meter.service();
