--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -98,7 +98,7 @@
     // Work that is not repeatable runs to its end once it is sent. If it were cancelled, no later
     // call with its key could get an answer.
     if (open.needsClaim() && open.state == RequestState::Sent) {
-        open.isCallerGone = true;
+        open.isCallerDisconnected = true;
         return;
     }
     cancelWork(open, now);
@@ -230,7 +230,7 @@
         open->storedAnswer.contentType = answer.contentType;
         open->storedAnswer.isEventStream = answer.isEventStream;
     }
-    if (!open->isCallerGone)
+    if (!open->isCallerDisconnected)
         m_context.environment.callers.startAnswer(open->asked.caller, answer);
 }
 
@@ -251,7 +251,7 @@
         m_permits.charge(*open);
     if (open->needsClaim())
         open->storedAnswer.parts.push_back(part.payload);
-    if (!open->isCallerGone)
+    if (!open->isCallerDisconnected)
         m_context.environment.callers.appendAnswer(open->asked.caller, {part.payload});
 }
 
@@ -268,7 +268,7 @@
     m_permits.release(*open, Scheduling::PermitOutcome::Completed, now);
     if (open->needsClaim())
         m_context.claims.complete(open->key, encodeAnswer(open->storedAnswer), now);
-    if (!open->isCallerGone)
+    if (!open->isCallerDisconnected)
         m_context.environment.callers.finishAnswer(open->asked.caller);
     m_recorder.recordEnd(*open, nullptr, now);
     close(open->key);
@@ -361,9 +361,9 @@
     Failure failure = makeFailure(FailureType::DeadlineUnmet, "the deadline passed");
     failure.retryAfter = backendRetryAfter;
     if (isSent && open.needsClaim()) {
-        if (open.isCallerGone)
+        if (open.isCallerDisconnected)
             return;
-        open.isCallerGone = true;
+        open.isCallerDisconnected = true;
         failure.requestId = Base::toString(open.key);
         failure.ran = Ran::Unknown;
         m_context.environment.callers.fail(open.asked.caller, failure);
@@ -429,7 +429,7 @@
                                                      const BackendFailed &failed,
                                                      Base::TimePoint now)
 {
-    if (open.isCallerGone)
+    if (open.isCallerDisconnected)
         return {};
     return m_retryPolicy.decide(failedAttempt(open, failed, now), m_budget,
                                 m_context.environment.random);
@@ -460,7 +460,7 @@
     if (open.mayHaveRun)
         failure.ran = Ran::Unknown;
     settleClaim(open, now);
-    if (!open.isCallerGone)
+    if (!open.isCallerDisconnected)
         m_context.environment.callers.fail(open.asked.caller, failure);
     m_recorder.recordEnd(open, &failure, now);
     close(open.key);
--- a/src/libs/node/openrequest.h
+++ b/src/libs/node/openrequest.h
@@ -28,7 +28,7 @@
     Settings::ClassTarget target;
     Base::PoolId pool;
     RequestState state = RequestState::Waiting;
-    bool isCallerGone = false;
+    bool isCallerDisconnected = false;
     /// The caller reads more slowly than its answer arrives, so reading from the backend server
     /// is paused.
     bool isBlocked = false;
