--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -38,7 +38,7 @@
     , m_budget(std::move(budget))
     , m_retryPolicy(std::move(policy))
     , m_permits({context.settings, context.environment, context.membership, context.directory,
-                 context.homes, context.orders, context.outbox})
+                 context.homes, context.homeOrders, context.outbox})
     , m_recorder(context.environment.observer, context.membership.self().host)
 {}
 
--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -34,7 +34,7 @@
     const ServerDirectory &directory;
     Claims::ClaimBook &claims;
     const PoolHomes &homes;
-    const HomeOrderCache &orders;
+    const HomeOrderCache &homeOrders;
     Outbox &outbox;
 };
 
--- a/src/libs/node/permitclient.cpp
+++ b/src/libs/node/permitclient.cpp
@@ -43,7 +43,7 @@
 {
     open.permitRequestedAt = now;
     open.shard = chooseShard(open.pool, now);
-    waitAtHome(open, m_context.orders.home(open.pool, open.shard), now);
+    waitAtHome(open, m_context.homeOrders.home(open.pool, open.shard), now);
 }
 
 void PermitClient::cancelPermitRequest(const OpenRequest &open)
@@ -105,7 +105,7 @@
 
 void PermitClient::moveToCurrentHome(OpenRequest &open, Base::TimePoint now)
 {
-    const Base::HostId home = m_context.orders.home(open.pool, open.shard);
+    const Base::HostId home = m_context.homeOrders.home(open.pool, open.shard);
     const bool isSame = home == open.home && incarnationOf(home) == open.homeIncarnation;
     if (isSame)
         return;
--- a/src/libs/node/permitclient.h
+++ b/src/libs/node/permitclient.h
@@ -27,7 +27,7 @@
     const Coordination::Membership &membership;
     const ServerDirectory &directory;
     const PoolHomes &homes;
-    const HomeOrderCache &orders;
+    const HomeOrderCache &homeOrders;
     Outbox &outbox;
 };
 
--- a/src/libs/node/poolhomes.cpp
+++ b/src/libs/node/poolhomes.cpp
@@ -222,7 +222,7 @@
 const std::vector<Base::HostId> &PoolHomes::homeOrder(const Base::PoolId &pool,
                                                       std::uint32_t shard) const
 {
-    return m_context.orders.order(pool, shard);
+    return m_context.homeOrders.order(pool, shard);
 }
 
 void PoolHomes::dropLostEntryHosts(Base::TimePoint now)
--- a/src/libs/node/poolhomes.h
+++ b/src/libs/node/poolhomes.h
@@ -33,7 +33,7 @@
     const Coordination::Membership &membership;
     const Coordination::ConfigurationReplica &configuration;
     const ServerDirectory &directory;
-    const HomeOrderCache &orders;
+    const HomeOrderCache &homeOrders;
     Outbox &outbox;
 };
 
