--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -415,7 +415,7 @@
     m_membership->omitUnchanged(*heartbeat);
     for (const auto &[host, member] : m_membership->others())
         post(host, *heartbeat);
-    m_homes->refreshClaims();
+    m_homes->refreshClassClaims();
 }
 
 void Node::answerTargetWrites(Base::TimePoint)
--- a/src/libs/node/poolhome.cpp
+++ b/src/libs/node/poolhome.cpp
@@ -107,12 +107,12 @@
     }
 }
 
-void PoolHome::setClaims(const Settings::Configuration &configuration)
+void PoolHome::setClassClaims(const Settings::Configuration &configuration)
 {
-    m_claims.clear();
+    m_classClaims.clear();
     for (const auto &[name, target] : configuration.targets()) {
         if (target.target.claim)
-            m_claims[name] = *target.target.claim;
+            m_classClaims[name] = *target.target.claim;
     }
 }
 
@@ -330,8 +330,8 @@
 
 bool PoolHome::isOverClaim(const Base::ClassId &workClass) const
 {
-    const auto claim = m_claims.find(workClass);
-    if (claim == m_claims.end())
+    const auto claim = m_classClaims.find(workClass);
+    if (claim == m_classClaims.end())
         return false;
     const auto inUse = m_inUseByClass.find(workClass);
     const double used = inUse == m_inUseByClass.end() ? 0 : static_cast<double>(inUse->second);
--- a/src/libs/node/poolhome.h
+++ b/src/libs/node/poolhome.h
@@ -56,7 +56,7 @@
     void setServers(const std::vector<const Server *> &servers);
     /// Reads the share of the pool's permits that each class of work may use while other classes
     /// have work waiting.
-    void setClaims(const Settings::Configuration &configuration);
+    void setClassClaims(const Settings::Configuration &configuration);
 
     const Base::PoolId &pool() const { return m_pool; }
     std::uint32_t shard() const { return m_shard; }
@@ -161,7 +161,7 @@
     /// The customers whose backlog has lasted for at least persistentBacklogAge.
     std::vector<Base::CustomerId> m_persistentlyBacklogged;
     Base::TimePoint m_nextBacklogCheck{};
-    std::map<Base::ClassId, double> m_claims;
+    std::map<Base::ClassId, double> m_classClaims;
     std::map<Base::ClassId, std::size_t> m_inUseByClass;
     Scheduling::DrainEstimator m_drain;
     Scheduling::HoldEstimator m_holds;
--- a/src/libs/node/poolhomes.cpp
+++ b/src/libs/node/poolhomes.cpp
@@ -31,7 +31,7 @@
         return nullptr;
     PoolHome &added = *(m_homes[key] = std::move(*created));
     added.setServers(directory.usable(pool, shard));
-    added.setClaims(m_context.configuration.configuration());
+    added.setClassClaims(m_context.configuration.configuration());
     return &added;
 }
 
@@ -89,10 +89,10 @@
     removeUnusedHomes();
 }
 
-void PoolHomes::refreshClaims()
+void PoolHomes::refreshClassClaims()
 {
     for (auto &[key, home] : m_homes)
-        home->setClaims(m_context.configuration.configuration());
+        home->setClassClaims(m_context.configuration.configuration());
 }
 
 void PoolHomes::balance(Base::TimePoint now)
--- a/src/libs/node/poolhomes.h
+++ b/src/libs/node/poolhomes.h
@@ -68,7 +68,7 @@
     /// Updates all homes after the backend servers or the usable routers have changed.
     void refresh(Base::TimePoint now);
     /// Passes the class shares of the current configuration to all homes.
-    void refreshClaims();
+    void refreshClassClaims();
     /// Moves waiting work from backlogged to idle shards of the same pool. Costs little for a
     /// pool with one shard.
     void balance(Base::TimePoint now);
