--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -44,9 +44,11 @@
     static Base::Result<std::unique_ptr<Node>> create(const NodeSettings &settings,
                                                       const Environment &environment);
 
+    /// Processes one event and everything that follows from it at \a now.
     void handle(const Event &event, Base::TimePoint now);
     /// Runs all timers that are due at \a now. Must be called at nextDue() or earlier.
     void advance(Base::TimePoint now);
+    /// Returns the time at which advance() must be called at the latest.
     Base::TimePoint nextDue() const;
 
     /// Returns whether the node knows its configuration and the backend servers, so that it can
@@ -71,7 +73,10 @@
     Base::Result<void> initialize();
 
     void post(const Base::HostId &to, const PeerMessage &message) override;
+    /// Processes the messages that this router sent to itself.
     void deliverLocally(Base::TimePoint now);
+    /// Processes the results of the last event: outcomes, view changes, local messages and
+    /// handovers of work between shards.
     void processPendingWork(Base::TimePoint now);
 
     void on(const CallerRequest &event, Base::TimePoint now);
