--- a/src/libs/node/poolhome.h
+++ b/src/libs/node/poolhome.h
@@ -64,26 +64,34 @@
     /// Queues the request, or refuses it under the admission policy. A repeated request that
     /// already has a permit is granted again, because its first grant may have been lost.
     void request(const PermitRequest &request, Base::TimePoint now);
+    /// Removes a waiting request, or ends the permit if it was already granted.
     void cancel(const PermitCancel &cancel, Base::TimePoint now);
+    /// Ends a permit, charges its service and passes its times to the concurrency limiter.
     void release(const PermitRelease &release, Base::TimePoint now);
+    /// Charges the service received so far under a permit in use.
     void charge(const ServiceCharge &charge, Base::TimePoint now);
     /// Counts a permit that an earlier home granted and that is still in use.
     void adoptPermit(const Base::HostId &entry, const PermitHeld &held, Base::TimePoint now);
+    /// Passes the polled load of a backend server to its concurrency limiter.
     void recordLoad(const BackendLoad &load, Base::TimePoint now);
     /// Compares the attempts that wait here for \a entry with the digest of what \a entry expects
     /// to be waiting.
     WaitingReply compare(const Base::HostId &entry, const WaitingDigest &digest) const;
     /// Drops all waiting work and all permits of \a entry, which has failed or restarted.
     void dropEntryHost(const Base::HostId &entry, Base::TimePoint now);
+    /// Updates the concurrency limits, refuses expired work and queries permits that are due.
     void advance(Base::TimePoint now);
     /// Removes at most \a count items from the head of the queue and returns them as permit
     /// requests to shard \a to.
     std::vector<PermitRequest> takeForHandover(std::size_t count, std::uint32_t to,
                                                Base::TimePoint now);
 
+    /// Returns the queue length, free permits and drain rate, as told to other routers.
     Coordination::PoolSummary summary() const;
+    /// Returns the number of waiting requests.
     std::size_t waiting() const { return m_queue.size(); }
     std::size_t permitsInUse() const { return m_permits.size(); }
+    /// Returns the sum of the permit limits of all usable servers.
     std::size_t permitLimit() const;
     std::vector<Base::ServerId> servers() const;
     std::vector<ServerUse> serverUse() const;
@@ -100,6 +108,7 @@
         bool isUsable = true;
     };
 
+    /// A granted permit that is not yet released.
     struct Permit
     {
         Base::HostId entry;
@@ -154,6 +163,7 @@
     Scheduling::ServerSelector m_selector;
     std::map<Base::ServerId, ServerState> m_servers;
     std::map<AttemptId, Permit> m_permits;
+    /// The waiting attempts of each entry host.
     std::map<Base::HostId, WaitingSet> m_waitingByEntry;
     Base::TimePoint m_nextQuery{};
     /// Start of the current backlog of each customer that has work waiting.
@@ -161,6 +171,7 @@
     /// The customers whose backlog has lasted for at least persistentBacklogAge.
     std::vector<Base::CustomerId> m_persistentlyBacklogged;
     Base::TimePoint m_nextBacklogCheck{};
+    /// Share of the pool's permits, from 0 to 1, that each class with a claim may use.
     std::map<Base::ClassId, double> m_classClaims;
     std::map<Base::ClassId, std::size_t> m_inUseByClass;
     Scheduling::DrainEstimator m_drain;
