--- a/src/libs/node/poolhomes.h
+++ b/src/libs/node/poolhomes.h
@@ -58,11 +58,13 @@
     /// Merges a ledger delta of another router. Replies with a snapshot if the sender requests one,
     /// or if its counters are already closed (folded) in this ledger.
     void merge(const Base::HostId &from, const Coordination::LedgerDelta &delta);
+    /// Replies to the digest of an entry host whose requests wait at a home here.
     void answerDigest(const Base::HostId &from, const WaitingDigest &digest);
     /// Hands over work to an idle shard that asks for it; replies even if there is none.
     void answerWorkAsk(const Base::HostId &from, const WorkAsk &ask, Base::TimePoint now);
     /// Queues requests that the home of another shard hands over.
     void acceptHandover(const WorkHandover &handover, Base::TimePoint now);
+    /// Passes the polled load of a backend server to all homes.
     void recordLoad(const BackendLoad &load, Base::TimePoint now);
 
     /// Updates all homes after the backend servers or the usable routers have changed.
@@ -72,19 +74,24 @@
     /// Moves waiting work from backlogged to idle shards of the same pool. Costs little for a
     /// pool with one shard.
     void balance(Base::TimePoint now);
+    /// Advances the homes, polls backend servers and sends ledger deltas as far as they are due.
     void advance(Base::TimePoint now);
     Base::TimePoint nextDue() const;
 
+    /// Returns a summary of each home, for the heartbeat of this router.
     std::vector<Coordination::PoolSummary> summaries() const;
     /// Returns a summary of each shard of a pool, as last reported by its home.
     std::vector<Scheduling::ShardSummary> shards(const Base::PoolId &pool,
                                                  Base::TimePoint now) const;
+    /// Returns the number of requests that wait at all homes.
     std::size_t waiting() const;
 
 private:
     Coordination::ServiceLedger *ledger(const Base::PoolId &pool);
     const std::vector<Base::HostId> &homeOrder(const Base::PoolId &pool, std::uint32_t shard) const;
+    /// Drops the work of entry hosts that failed or restarted.
     void dropLostEntryHosts(Base::TimePoint now);
+    /// Removes the homes of shards that moved to another router and hold no work any more.
     void removeUnusedHomes();
     void sendLedgers(Base::TimePoint now);
     void sendLedger(const Base::PoolId &pool, Coordination::ServiceLedger &ledger,
