--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -56,13 +56,18 @@
 
     /// Opens a request: authenticates the caller, then claims the work or requests a permit.
     void open(const CallerRequest &asked, Base::TimePoint now);
+    /// Cancels the work of the caller's request. Work that is not repeatable and already sent runs
+    /// to its end.
     void handleCallerDisconnected(CallerId caller, Base::TimePoint now);
+    /// Pauses reading from the backend server until handleCallerUnblocked().
     void handleCallerBlocked(CallerId caller);
     void handleCallerUnblocked(CallerId caller, Base::TimePoint now);
 
     void handleClaimOutcome(const Claims::ClaimOutcome &outcome, Base::TimePoint now);
+    /// Sends the attempt to the granted server. Releases the permit if no request waits for it.
     void handleGrant(const Base::HostId &home, const PermitGrant &grant, Base::TimePoint now);
     void handleRefusal(const PermitRefusal &refusal, Base::TimePoint now);
+    /// Reports the queried permits that are not in use as released.
     void handlePermitQuery(const Base::HostId &home, const PermitQuery &query);
 
     void handleBackendHead(const BackendHead &head, Base::TimePoint now);
@@ -78,12 +83,15 @@
     /// Called when the set of usable routers has changed. Sends waiting permit requests to the
     /// new homes and reports the permits in use to them.
     void moveToCurrentHome(Base::TimePoint now);
+    /// Sends due digests, expires requests past their deadline, fails attempts at idle backend
+    /// servers and runs due retries.
     void advance(Base::TimePoint now);
 
     /// Returns a new request id, for the answer to a request that does not go to a backend
     /// server.
     std::string newRequestId() { return Base::toString(newKey()); }
 
+    /// Returns the number of requests without a final answer.
     std::size_t size() const { return m_open.size(); }
 
 private:
@@ -91,18 +99,22 @@
                   Scheduling::RetryPolicy policy);
 
     Base::RequestKey newKey();
+    /// Returns the open request if \a attempt is its current one; else null.
     OpenRequest *find(const AttemptId &attempt);
     void startAttempt(OpenRequest &open, Base::TimePoint now);
     void send(OpenRequest &open, Base::TimePoint now);
     Scheduling::RetryDecision decideRetry(const OpenRequest &open, const BackendFailed &failed,
                                           Base::TimePoint now);
     void runNextRetryStep(OpenRequest &open, Base::TimePoint now);
+    /// Answers a repeated call with the stored answer of the first one.
     void replay(OpenRequest &open, const std::string &storedAnswer, Base::TimePoint now);
     void failWith(OpenRequest &open, Failure failure, Base::TimePoint now);
+    /// Fails a request whose deadline has passed.
     void expire(OpenRequest &open, Base::TimePoint now);
     /// Cancels the permit request at the home or the attempt at the backend server, and releases
     /// the permit.
     void cancelWork(OpenRequest &open, Base::TimePoint now);
+    /// Frees the claim of a failed request if its work certainly did not run; else abandons it.
     void settleClaim(const OpenRequest &open, Base::TimePoint now);
     void close(const Base::RequestKey &key);
 
