--- a/src/libs/node/homewatch.h
+++ b/src/libs/node/homewatch.h
@@ -31,6 +31,7 @@
 class HomeMonitor
 {
 public:
+    /// A home and the pool shard that it schedules.
     struct ShardHome
     {
         Base::HostId home;
@@ -40,6 +41,7 @@
         auto operator<=>(const ShardHome &) const = default;
     };
 
+    /// Difference between the attempts that wait at a home and those that this entry host expects.
     struct Difference
     {
         /// Attempts that wait at this entry host but are unknown to the home.
@@ -56,7 +58,9 @@
 
     explicit HomeMonitor(const HomeMonitorPolicy &policy);
 
+    /// Starts monitoring an attempt that waits at a home.
     void add(const ShardHome &shardHome, const AttemptId &attempt, Base::TimePoint now);
+    /// Stops monitoring an attempt.
     void remove(const ShardHome &shardHome, const AttemptId &attempt);
     /// Compares the reply of \a home to the latest digest with the waiting attempts. A reply to an
     /// older digest gives no difference.
@@ -73,7 +77,9 @@
         WaitingSet waiting;
         /// The attempts that the last digest covered.
         std::vector<AttemptId> digested;
+        /// Serial number of the last digest.
         std::uint64_t number = 0;
+        /// Number of digests since the last reply.
         int unanswered = 0;
         Base::TimePoint nextDigest{};
     };
--- a/src/libs/node/requestrecorder.h
+++ b/src/libs/node/requestrecorder.h
@@ -15,6 +15,7 @@
 public:
     RequestRecorder(NodeObserver &observer, const Base::HostId &self);
 
+    /// Reports one hop of a request.
     void recordHop(const OpenRequest &open, Hop hop, Base::TimePoint begin, Base::TimePoint end,
                    const std::string &place, bool isFailed);
     /// Reports the end of a request. \a failure is null if the answer is complete or the caller
