--- a/src/libs/node/openrequest.h
+++ b/src/libs/node/openrequest.h
@@ -28,6 +28,7 @@
     Settings::ClassTarget target;
     Base::PoolId pool;
     RequestState state = RequestState::Waiting;
+    /// The caller disconnected or already has its final failure, so nothing more is sent to it.
     bool isCallerDisconnected = false;
     /// The caller reads more slowly than its answer arrives, so reading from the backend server
     /// is paused.
