--- a/src/libs/node/nodeconstants.h
+++ b/src/libs/node/nodeconstants.h
@@ -14,12 +14,13 @@
 /// claims.
 inline constexpr const char *claimSweepPool = "claims/sweep";
 
-/// Cost of a generated token in prompt tokens. An engine computes a prompt in large batches but
-/// generates one token at a time.
+/// Approximate cost of a generated token in prompt tokens. An engine computes a prompt in large
+/// batches but generates one token at a time.
 inline constexpr std::uint64_t generatedTokenWeight = 4;
 /// Number of generated tokens assumed for work whose caller set no limit or a larger one.
 inline constexpr std::uint64_t maxAssumedGeneratedTokens = 256;
 
+/// Delays after which callers are told to try again, by the kind of failure.
 inline constexpr Base::Milliseconds notReadyRetryAfter{1000};
 inline constexpr Base::Milliseconds keyInProgressRetryAfter{1000};
 inline constexpr Base::Milliseconds claimRetryAfter{2000};
@@ -45,7 +46,7 @@
 /// first. A full delta has about 2 KB, so that sending it to five receivers fits into the part of
 /// the traffic budget that is free for one burst.
 inline constexpr std::size_t ledgerEntriesPerDelta = 100;
-/// Maximum number of configuration changes in one message to a peer.
+/// Maximum number of configuration changes in one message to another router.
 inline constexpr std::size_t changesPerPush = 200;
 
 } // namespace Node
