--- a/src/libs/node/nodeobserver.h
+++ b/src/libs/node/nodeobserver.h
@@ -11,6 +11,7 @@
 /// A step of a request on its way through the fleet. Each hop becomes one span of its trace.
 enum class Hop { Entry, Claim, Queue, Backend };
 
+/// Summary of a finished hop.
 struct HopRecord
 {
     Base::RequestKey request;
@@ -43,6 +44,7 @@
     Base::Duration whole{0};
     /// Weighed tokens received under all attempts.
     Base::ServiceUnits units = 0;
+    /// Number of attempts that requested a permit or were sent.
     std::uint32_t attempts = 0;
 };
 
--- a/src/libs/node/serverdirectory.h
+++ b/src/libs/node/serverdirectory.h
@@ -19,6 +19,7 @@
     Base::ZoneId zone;
     Base::Incarnation incarnation = 0;
     Storage::HostRole role = Storage::HostRole::ModelServer;
+    /// Whether the server rejects work that carries an older fencing token.
     bool isCheckingFences = false;
     bool isLeaving = false;
     std::vector<Base::PoolId> pools;
