--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -409,8 +409,8 @@
     const Server *server = m_context.directory.server(open.server);
     const bool isClaimLost = open.needsClaim() && !m_context.claims.maySend(open.key, now);
     if (!server || isClaimLost) {
-        // The backend server is gone, or the claim lapsed, for example while the process was
-        // suspended past its lease. Nothing is sent, so the request fails as not run.
+        // The backend server is no longer listed, or the claim lapsed, for example while the
+        // process was suspended past its lease. Nothing is sent, so the request fails as not run.
         m_permits.release(open, Scheduling::PermitOutcome::NotUsed, now);
         Failure failure = isClaimLost
                               ? makeFailure(FailureType::ClaimUnavailable, "the claim lapsed")
