--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -410,7 +410,7 @@
     const bool isClaimLost = open.needsClaim() && !m_context.claims.maySend(open.key, now);
     if (!server || isClaimLost) {
         // The backend server is no longer listed, or the claim lapsed, for example while the
-        // process was suspended past its lease. Nothing is sent, so the request fails as not run.
+        // process was suspended past its lease. This attempt is not sent, and the request fails.
         m_permits.release(open, Scheduling::PermitOutcome::NotUsed, now);
         Failure failure = isClaimLost
                               ? makeFailure(FailureType::ClaimUnavailable, "the claim lapsed")
