--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -12,12 +12,13 @@
 
 namespace {
 
-/// Guards against a frozen backend server, whose connection stays open and says nothing: the
-/// caller would wait for ever. A slow caller's stream is silent because it is held back.
-bool isSilent(const OpenRequest &open, Base::TimePoint now)
+/// Returns whether the backend server has sent nothing for backendIdleTimeout. The connection to
+/// a frozen server stays open, so without this check its caller would wait forever. A stream that
+/// is paused for a slow caller does not count as idle.
+bool isBackendIdle(const OpenRequest &open, Base::TimePoint now)
 {
     return open.state == RequestState::Sent && !open.isBlocked
-           && now - open.heardAt >= backendSilenceLimit;
+           && now - open.lastResponseAt >= backendIdleTimeout;
 }
 
 } // namespace
@@ -37,7 +38,7 @@
     , m_budget(std::move(budget))
     , m_retryPolicy(std::move(policy))
     , m_permits({context.settings, context.environment, context.membership, context.directory,
-                 context.homes, context.orders, context.outbox})
+                 context.homes, context.homeOrders, context.outbox})
     , m_recorder(context.environment.observer, context.membership.self().host)
 {}
 
@@ -52,9 +53,11 @@
     OpenRequest &added = m_open[key] = open;
     m_byCaller[asked.caller] = key;
 
-    // A process that has just started must not answer that a model does not exist.
+    // A process that has just started must not report a model as unknown, because it may not yet
+    // have its configuration or the list of hosts.
     if (!m_context.configuration.isReady() || !m_context.directory.isKnown()) {
-        Failure failure = failureOf(FailureType::NotReady, "no configuration or list of hosts yet");
+        Failure failure =
+            makeFailure(FailureType::NotReady, "no configuration or list of hosts yet");
         failure.retryAfter = notReadyRetryAfter;
         failWith(added, failure, now);
         return;
@@ -62,23 +65,23 @@
     const Settings::Configuration &configuration = m_context.configuration.configuration();
     const Settings::Customer *customer = configuration.customerByKeyDigest(asked.keyDigest);
     if (asked.keyDigest.empty() || !customer) {
-        failWith(added, failureOf(FailureType::Unauthorized, "unknown key"), now);
+        failWith(added, makeFailure(FailureType::Unauthorized, "unknown key"), now);
         return;
     }
     added.customer = customer->id;
     const Settings::VersionedTarget *target = configuration.target(asked.workClass);
     if (!target) {
-        failWith(added, failureOf(FailureType::UnknownClass, "unknown class of work"), now);
+        failWith(added, makeFailure(FailureType::UnknownClass, "unknown class of work"), now);
         return;
     }
     added.target = target->target;
     if (!m_context.directory.hasPool(added.pool)) {
-        failWith(added, failureOf(FailureType::UnknownPool, "unknown model or service"), now);
+        failWith(added, makeFailure(FailureType::UnknownPool, "unknown model or service"), now);
         return;
     }
     m_budget.recordFirstAttempt();
-    if (!added.isClaimed()) {
-        askPermit(added, now);
+    if (!added.needsClaim()) {
+        startAttempt(added, now);
         return;
     }
     added.state = RequestState::Claiming;
@@ -86,25 +89,25 @@
                            m_context.environment.wallClock.now());
 }
 
-void EntryRequests::callerGone(CallerId caller, Base::TimePoint now)
+void EntryRequests::handleCallerDisconnected(CallerId caller, Base::TimePoint now)
 {
     const auto byCaller = m_byCaller.find(caller);
     if (byCaller == m_byCaller.end())
         return;
     OpenRequest &open = m_open.at(byCaller->second);
-    // Work that must not be repeated runs to its end once it is sent: cancelled half-way, its
-    // key could never be answered for again.
-    if (open.isClaimed() && open.state == RequestState::Sent) {
-        open.isCallerGone = true;
+    // Work that is not repeatable runs to its end once it is sent. If it were cancelled, no later
+    // call with its key could get an answer.
+    if (open.needsClaim() && open.state == RequestState::Sent) {
+        open.isCallerDisconnected = true;
         return;
     }
-    dropWork(open, now);
+    cancelWork(open, now);
     settleClaim(open, now);
-    m_recorder.end(open, nullptr, now);
+    m_recorder.recordEnd(open, nullptr, now);
     close(open.key);
 }
 
-void EntryRequests::callerBlocked(CallerId caller)
+void EntryRequests::handleCallerBlocked(CallerId caller)
 {
     const auto it = m_byCaller.find(caller);
     if (it == m_byCaller.end())
@@ -114,104 +117,105 @@
     m_context.environment.backends.pause(open.attemptId());
 }
 
-void EntryRequests::callerReady(CallerId caller, Base::TimePoint now)
+void EntryRequests::handleCallerUnblocked(CallerId caller, Base::TimePoint now)
 {
     const auto it = m_byCaller.find(caller);
     if (it == m_byCaller.end())
         return;
     OpenRequest &open = m_open.at(it->second);
     open.isBlocked = false;
-    open.heardAt = now;
+    open.lastResponseAt = now;
     m_context.environment.backends.resume(open.attemptId());
 }
 
-void EntryRequests::claimDecided(const Claims::ClaimOutcome &outcome, Base::TimePoint now)
+void EntryRequests::handleClaimOutcome(const Claims::ClaimOutcome &outcome, Base::TimePoint now)
 {
     const auto it = m_open.find(outcome.request);
     if (it == m_open.end() || it->second.state != RequestState::Claiming)
         return;
     OpenRequest &open = it->second;
     using Claims::ClaimVerdict;
-    m_recorder.hop(open, Hop::Claim, open.arrivedAt, now, "table",
-                   outcome.verdict != ClaimVerdict::Claimed
-                       && outcome.verdict != ClaimVerdict::Completed);
+    m_recorder.recordHop(open, Hop::Claim, open.arrivedAt, now, "table",
+                         outcome.verdict != ClaimVerdict::Claimed
+                             && outcome.verdict != ClaimVerdict::Completed);
     Failure failure;
     switch (outcome.verdict) {
     case ClaimVerdict::Claimed:
         open.fence = outcome.fence;
-        askPermit(open, now);
+        startAttempt(open, now);
         return;
     case ClaimVerdict::Completed:
         replay(open, outcome.answer, now);
         return;
     case ClaimVerdict::CompletedUnstored:
-        failure = failureOf(FailureType::KeyInProgress,
-                            "a call with this key ran; its answer was too large to be kept");
+        failure = makeFailure(FailureType::KeyInProgress,
+                              "a call with this key ran; its answer was too large to be kept");
         failure.ran = Ran::Unknown;
         break;
     case ClaimVerdict::InProgress:
-        failure = failureOf(FailureType::KeyInProgress, "a call with this key is running");
+        failure = makeFailure(FailureType::KeyInProgress, "a call with this key is running");
         failure.ran = Ran::Unknown;
         failure.retryAfter = keyInProgressRetryAfter;
         break;
     case ClaimVerdict::Conflict:
-        failure = failureOf(FailureType::KeyConflict, "the key was used for other content");
+        failure = makeFailure(FailureType::KeyConflict, "the key was used for other content");
         break;
     case ClaimVerdict::Undecidable:
-        failure = failureOf(FailureType::KeyInProgress, "a call with this key may have run");
+        failure = makeFailure(FailureType::KeyInProgress, "a call with this key may have run");
         failure.ran = Ran::Unknown;
         break;
     case ClaimVerdict::Unavailable:
-        failure = failureOf(FailureType::ClaimUnavailable, "the call could not be claimed");
+        failure = makeFailure(FailureType::ClaimUnavailable, "the call could not be claimed");
         failure.retryAfter = claimRetryAfter;
         break;
     }
     failWith(open, failure, now);
 }
 
-void EntryRequests::granted(const Base::HostId &home, const PermitGrant &grant, Base::TimePoint now)
+void EntryRequests::handleGrant(const Base::HostId &home, const PermitGrant &grant,
+                                Base::TimePoint now)
 {
     OpenRequest *open = find(grant.attempt);
     const bool isKnown = m_context.directory.server(grant.server) != nullptr;
     if (open && open->state == RequestState::Waiting && isKnown) {
-        m_permits.accept(*open, home, grant);
-        m_recorder.hop(*open, Hop::Queue, open->askedAt, now, home.value(), false);
+        m_permits.acceptGrant(*open, home, grant);
+        m_recorder.recordHop(*open, Hop::Queue, open->permitRequestedAt, now, home.value(), false);
         send(*open, now);
         return;
     }
     const bool isInUse = open && open->holdsPermit() && open->permit == grant.attempt
                          && open->home == home && open->server == grant.server;
     if (!isInUse)
-        m_permits.decline(home, grant);
+        m_permits.declineGrant(home, grant);
 }
 
-void EntryRequests::refused(const PermitRefusal &refusal, Base::TimePoint now)
+void EntryRequests::handleRefusal(const PermitRefusal &refusal, Base::TimePoint now)
 {
     OpenRequest *open = find(refusal.attempt);
     if (!open || open->state != RequestState::Waiting)
         return;
-    m_permits.stopWatching(*open);
-    m_recorder.hop(*open, Hop::Queue, open->askedAt, now, open->home.value(), true);
-    failWith(*open, failureOf(refusal), now);
+    m_permits.stopMonitoring(*open);
+    m_recorder.recordHop(*open, Hop::Queue, open->permitRequestedAt, now, open->home.value(), true);
+    failWith(*open, makeFailure(refusal), now);
 }
 
-void EntryRequests::queried(const Base::HostId &home, const PermitQuery &query)
+void EntryRequests::handlePermitQuery(const Base::HostId &home, const PermitQuery &query)
 {
     for (const AttemptId &attempt : query.attempts) {
         const auto it = m_open.find(attempt.request);
         const bool isInUse =
             it != m_open.end() && it->second.holdsPermit() && it->second.permit == attempt;
         if (!isInUse)
-            m_permits.disown(attempt, home, query.pool, query.shard);
+            m_permits.answerPermitQuery(attempt, home, query.pool, query.shard);
     }
 }
 
-void EntryRequests::backendHead(const BackendHead &head, Base::TimePoint now)
+void EntryRequests::handleBackendHead(const BackendHead &head, Base::TimePoint now)
 {
     OpenRequest *open = find(head.attempt);
     if (!open || open->state != RequestState::Sent)
         return;
-    open->heardAt = now;
+    open->lastResponseAt = now;
     open->streamName = head.streamName;
     if (open->isAnswerStarted)
         return;
@@ -221,23 +225,23 @@
     answer.status = head.status;
     answer.contentType = head.contentType;
     answer.isEventStream = open->asked.kind == WorkKind::ChatCompletion;
-    if (open->isClaimed()) {
-        open->stored.status = answer.status;
-        open->stored.contentType = answer.contentType;
-        open->stored.isEventStream = answer.isEventStream;
+    if (open->needsClaim()) {
+        open->storedAnswer.status = answer.status;
+        open->storedAnswer.contentType = answer.contentType;
+        open->storedAnswer.isEventStream = answer.isEventStream;
     }
-    if (!open->isCallerGone)
+    if (!open->isCallerDisconnected)
         m_context.environment.callers.startAnswer(open->asked.caller, answer);
 }
 
-void EntryRequests::backendPart(const BackendPart &part, Base::TimePoint now)
+void EntryRequests::handleBackendPart(const BackendPart &part, Base::TimePoint now)
 {
     OpenRequest *open = find(part.attempt);
-    // Late, doubled and crossed parts name another attempt or another place in the stream.
+    // Late, duplicated and reordered parts carry another attempt number or another index.
     if (!open || open->state != RequestState::Sent || part.index != open->nextPart)
         return;
     ++open->nextPart;
-    open->heardAt = now;
+    open->lastResponseAt = now;
     if (!open->hasFirstPart) {
         open->hasFirstPart = true;
         open->firstPartAt = now;
@@ -245,68 +249,68 @@
     open->received += part.units;
     if (open->received - open->charged >= m_context.settings.chargeStep)
         m_permits.charge(*open);
-    if (open->isClaimed())
-        open->stored.parts.push_back(part.payload);
-    if (!open->isCallerGone)
+    if (open->needsClaim())
+        open->storedAnswer.parts.push_back(part.payload);
+    if (!open->isCallerDisconnected)
         m_context.environment.callers.appendAnswer(open->asked.caller, {part.payload});
 }
 
-void EntryRequests::backendFinished(const BackendFinished &finished, Base::TimePoint now)
+void EntryRequests::handleBackendFinished(const BackendFinished &finished, Base::TimePoint now)
 {
     OpenRequest *open = find(finished.attempt);
     if (!open || open->state != RequestState::Sent)
         return;
     if (finished.parts != open->nextPart) {
-        backendFailed({finished.attempt, SendState::MaybeRan, 0, std::nullopt}, now);
+        handleBackendFailed({finished.attempt, SendState::MaybeRan, 0, std::nullopt}, now);
         return;
     }
-    m_recorder.hop(*open, Hop::Backend, open->sentAt, now, open->server.value(), false);
+    m_recorder.recordHop(*open, Hop::Backend, open->sentAt, now, open->server.value(), false);
     m_permits.release(*open, Scheduling::PermitOutcome::Completed, now);
-    if (open->isClaimed())
-        m_context.claims.complete(open->key, encodeAnswer(open->stored), now);
-    if (!open->isCallerGone)
+    if (open->needsClaim())
+        m_context.claims.complete(open->key, encodeAnswer(open->storedAnswer), now);
+    if (!open->isCallerDisconnected)
         m_context.environment.callers.finishAnswer(open->asked.caller);
-    m_recorder.end(*open, nullptr, now);
+    m_recorder.recordEnd(*open, nullptr, now);
     close(open->key);
 }
 
-void EntryRequests::backendFailed(const BackendFailed &failed, Base::TimePoint now)
+void EntryRequests::handleBackendFailed(const BackendFailed &failed, Base::TimePoint now)
 {
     OpenRequest *open = find(failed.attempt);
     if (!open || open->state != RequestState::Sent)
         return;
     if (failed.sent == SendState::MaybeRan)
         open->mayHaveRun = true;
-    m_recorder.hop(*open, Hop::Backend, open->sentAt, now, open->server.value(), true);
-    const Scheduling::RetryDecision decision = decide(*open, failed, now);
-    open->state = RequestState::Pausing;
-    open->nextStep = decision.step;
-    open->nextStepAt = now + decision.after;
+    m_recorder.recordHop(*open, Hop::Backend, open->sentAt, now, open->server.value(), true);
+    const Scheduling::RetryDecision decision = decideRetry(*open, failed, now);
+    open->state = RequestState::BackingOff;
+    open->nextRetryStep = decision.step;
+    open->nextRetryStepAt = now + decision.after;
     if (decision.step != Scheduling::RetryStep::ResumeStream)
         m_permits.release(*open, Scheduling::PermitOutcome::Failed, now);
     if (decision.step != Scheduling::RetryStep::GiveUp) {
         m_context.environment.observer.retried(open->key);
         return;
     }
-    Failure failure = failureOf(FailureType::BackendFailed, "the backend server failed");
+    Failure failure = makeFailure(FailureType::BackendFailed, "the backend server failed");
     failure.retryAfter = failed.retryAfter.value_or(backendRetryAfter);
     failWith(*open, failure, now);
 }
 
-void EntryRequests::rehome(Base::TimePoint now)
+void EntryRequests::moveToCurrentHome(Base::TimePoint now)
 {
     for (auto &[key, open] : m_open)
-        m_permits.rehome(open, now);
+        m_permits.moveToCurrentHome(open, now);
 }
 
 void EntryRequests::reconcile(const Base::HostId &home, const WaitingReply &reply,
                               Base::TimePoint now)
 {
-    const HomeWatch::Difference difference = m_permits.compare(home, reply);
+    const HomeMonitor::Difference difference = m_permits.compare(home, reply);
     for (const AttemptId &attempt : difference.missing) {
         const OpenRequest *open = find(attempt);
         if (open && open->state == RequestState::Waiting)
-            m_permits.repeat(*open, home, now);
+            m_permits.resendRequest(*open, home, now);
     }
 }
 
@@ -315,63 +319,64 @@
     m_permits.sendDigests(now);
     if (now < m_nextCheck)
         return;
-    m_nextCheck = now + openCheckInterval;
-    std::vector<Base::RequestKey> late;
-    std::vector<AttemptId> silent;
-    std::vector<Base::RequestKey> rested;
+    m_nextCheck = now + openRequestCheckInterval;
+    std::vector<Base::RequestKey> expired;
+    std::vector<AttemptId> idle;
+    std::vector<Base::RequestKey> due;
     for (const auto &[key, open] : m_open) {
         if (open.asked.deadline && now - open.arrivedAt >= *open.asked.deadline)
-            late.push_back(key);
-        else if (isSilent(open, now))
-            silent.push_back(open.attemptId());
-        else if (open.state == RequestState::Pausing && now >= open.nextStepAt)
-            rested.push_back(key);
+            expired.push_back(key);
+        else if (isBackendIdle(open, now))
+            idle.push_back(open.attemptId());
+        else if (open.state == RequestState::BackingOff && now >= open.nextRetryStepAt)
+            due.push_back(key);
     }
-    for (const Base::RequestKey &key : late)
-        passDeadline(m_open.at(key), now);
-    for (const AttemptId &attempt : silent) {
+    for (const Base::RequestKey &key : expired)
+        expire(m_open.at(key), now);
+    for (const AttemptId &attempt : idle) {
         m_context.environment.backends.cancel(attempt);
-        backendFailed({attempt, SendState::MaybeRan, 0, std::nullopt}, now);
+        handleBackendFailed({attempt, SendState::MaybeRan, 0, std::nullopt}, now);
     }
-    for (const Base::RequestKey &key : rested)
-        takeNextStep(m_open.at(key), now);
+    for (const Base::RequestKey &key : due)
+        runNextRetryStep(m_open.at(key), now);
 }
 
-void EntryRequests::takeNextStep(OpenRequest &open, Base::TimePoint now)
+void EntryRequests::runNextRetryStep(OpenRequest &open, Base::TimePoint now)
 {
-    if (open.nextStep == Scheduling::RetryStep::Retry) {
-        askPermit(open, now);
+    if (open.nextRetryStep == Scheduling::RetryStep::Retry) {
+        startAttempt(open, now);
         return;
     }
     ++open.attempt;
     send(open, now);
 }
 
-void EntryRequests::passDeadline(OpenRequest &open, Base::TimePoint now)
+void EntryRequests::expire(OpenRequest &open, Base::TimePoint now)
 {
-    // Work that must not be repeated runs to its end once it is sent; only its caller is told.
+    // Work that is not repeatable runs to its end once it is sent; only its caller gets the
+    // failure now.
     const bool isSent = open.state == RequestState::Sent;
     if (isSent)
         open.mayHaveRun = true;
-    Failure failure = failureOf(FailureType::DeadlineUnmet, "the deadline passed");
+    Failure failure = makeFailure(FailureType::DeadlineUnmet, "the deadline passed");
     failure.retryAfter = backendRetryAfter;
-    if (isSent && open.isClaimed()) {
-        if (open.isCallerGone)
+    if (isSent && open.needsClaim()) {
+        if (open.isCallerDisconnected)
             return;
-        open.isCallerGone = true;
+        open.isCallerDisconnected = true;
         failure.requestId = Base::toString(open.key);
         failure.ran = Ran::Unknown;
         m_context.environment.callers.fail(open.asked.caller, failure);
         return;
     }
-    dropWork(open, now);
+    cancelWork(open, now);
     failWith(open, failure, now);
 }
 
-void EntryRequests::dropWork(OpenRequest &open, Base::TimePoint now)
+void EntryRequests::cancelWork(OpenRequest &open, Base::TimePoint now)
 {
     if (open.state == RequestState::Waiting)
-        m_permits.withdraw(open);
+        m_permits.cancelPermitRequest(open);
     if (open.state == RequestState::Sent)
         m_context.environment.backends.cancel(open.attemptId());
     if (open.holdsPermit())
@@ -392,47 +397,49 @@
     return &it->second;
 }
 
-void EntryRequests::askPermit(OpenRequest &open, Base::TimePoint now)
+void EntryRequests::startAttempt(OpenRequest &open, Base::TimePoint now)
 {
     ++open.attempt;
     open.state = RequestState::Waiting;
-    m_permits.ask(open, now);
+    m_permits.requestPermit(open, now);
 }
 
 void EntryRequests::send(OpenRequest &open, Base::TimePoint now)
 {
     const Server *server = m_context.directory.server(open.server);
-    const bool isClaimLost = open.isClaimed() && !m_context.claims.maySend(open.key, now);
+    const bool isClaimLost = open.needsClaim() && !m_context.claims.maySend(open.key, now);
     if (!server || isClaimLost) {
-        // A process frozen past its lease wakes here. Nothing more leaves, so it gives up.
+        // The backend server is no longer listed, or the claim lapsed, for example while the
+        // process was suspended past its lease. This attempt is not sent, and the request fails.
         m_permits.release(open, Scheduling::PermitOutcome::NotUsed, now);
         Failure failure = isClaimLost
-                              ? failureOf(FailureType::ClaimUnavailable, "the claim lapsed")
-                              : failureOf(FailureType::NoCapacity, "the backend server is gone");
+                              ? makeFailure(FailureType::ClaimUnavailable, "the claim lapsed")
+                              : makeFailure(FailureType::NoCapacity, "the backend server is gone");
         failure.retryAfter = claimRetryAfter;
         failWith(open, failure, now);
         return;
     }
     open.state = RequestState::Sent;
     open.sentAt = now;
-    open.heardAt = now;
+    open.lastResponseAt = now;
     m_context.environment.backends.send(backendRequest(open, *server));
 }
 
-Scheduling::RetryDecision EntryRequests::decide(const OpenRequest &open,
-                                                const BackendFailed &failed, Base::TimePoint now)
+Scheduling::RetryDecision EntryRequests::decideRetry(const OpenRequest &open,
+                                                     const BackendFailed &failed,
+                                                     Base::TimePoint now)
 {
-    if (open.isCallerGone)
+    if (open.isCallerDisconnected)
         return {};
     return m_retryPolicy.decide(failedAttempt(open, failed, now), m_budget,
                                 m_context.environment.random);
 }
 
-void EntryRequests::replay(OpenRequest &open, const std::string &stored, Base::TimePoint now)
+void EntryRequests::replay(OpenRequest &open, const std::string &storedAnswer, Base::TimePoint now)
 {
-    const Base::Result<StoredAnswer> answer = decodeAnswer(stored);
+    const Base::Result<StoredAnswer> answer = decodeAnswer(storedAnswer);
     if (!answer) {
-        Failure failure = failureOf(FailureType::KeyInProgress, "the stored answer is damaged");
+        Failure failure = makeFailure(FailureType::KeyInProgress, "the stored answer is damaged");
         failure.ran = Ran::Unknown;
         failWith(open, failure, now);
         return;
@@ -443,7 +450,7 @@
     for (const std::string &part : answer->parts)
         callers.appendAnswer(open.asked.caller, {part});
     callers.finishAnswer(open.asked.caller);
-    m_recorder.end(open, nullptr, now);
+    m_recorder.recordEnd(open, nullptr, now);
     close(open.key);
 }
 
@@ -453,15 +460,15 @@
     if (open.mayHaveRun)
         failure.ran = Ran::Unknown;
     settleClaim(open, now);
-    if (!open.isCallerGone)
+    if (!open.isCallerDisconnected)
         m_context.environment.callers.fail(open.asked.caller, failure);
-    m_recorder.end(open, &failure, now);
+    m_recorder.recordEnd(open, &failure, now);
     close(open.key);
 }
 
 void EntryRequests::settleClaim(const OpenRequest &open, Base::TimePoint now)
 {
-    if (!open.isClaimed())
+    if (!open.needsClaim())
         return;
     if (open.mayHaveRun)
         m_context.claims.abandon(open.key);
--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -24,7 +24,7 @@
 
 namespace Node {
 
-/// What the entry side looks at but does not own.
+/// The objects that EntryRequests uses but does not own. They must outlive it.
 struct EntryContext
 {
     const NodeSettings &settings;
@@ -34,45 +34,64 @@
     const ServerDirectory &directory;
     Claims::ClaimBook &claims;
     const PoolHomes &homes;
-    const HomeOrders &orders;
+    const HomeOrderCache &homeOrders;
     Outbox &outbox;
 };
 
-/// The requests of the callers connected to this process, from arrival to final answer.
+/// The requests of the callers connected to this process, from arrival to final answer. This
+/// process is the entry host of these requests.
 ///
-/// A request stays here, where its caller's connection is; only a permit request travels. So
-/// the loss of any other router loses no request, and it is known here, and only here, whether
-/// a byte of it was sent.
+/// A request stays at its entry host, which also holds the caller's connection; only a permit
+/// request is sent to the home. Therefore no request is lost when another router fails, and only
+/// the entry host knows whether a byte of the request was sent to a backend server.
+///
+/// Work that is not repeatable needs a claim: a row in the table which ensures that at most one
+/// router sends the call with a given idempotency key. The fence of a claim is a number that grows
+/// with each owner of the key.
 class EntryRequests
 {
 public:
+    /// Fails if the retry budget or the retry policy in the settings is invalid.
     static Base::Result<std::unique_ptr<EntryRequests>> create(const EntryContext &context);
 
+    /// Opens a request: authenticates the caller, then claims the work or requests a permit.
     void open(const CallerRequest &asked, Base::TimePoint now);
-    void callerGone(CallerId caller, Base::TimePoint now);
-    void callerBlocked(CallerId caller);
-    void callerReady(CallerId caller, Base::TimePoint now);
+    /// Cancels the work of the caller's request. Work that is not repeatable and already sent runs
+    /// to its end.
+    void handleCallerDisconnected(CallerId caller, Base::TimePoint now);
+    /// Pauses reading from the backend server until handleCallerUnblocked().
+    void handleCallerBlocked(CallerId caller);
+    void handleCallerUnblocked(CallerId caller, Base::TimePoint now);
 
-    void claimDecided(const Claims::ClaimOutcome &outcome, Base::TimePoint now);
-    void granted(const Base::HostId &home, const PermitGrant &grant, Base::TimePoint now);
-    void refused(const PermitRefusal &refusal, Base::TimePoint now);
-    void queried(const Base::HostId &home, const PermitQuery &query);
+    void handleClaimOutcome(const Claims::ClaimOutcome &outcome, Base::TimePoint now);
+    /// Sends the attempt to the granted server. Releases the permit if no request waits for it.
+    void handleGrant(const Base::HostId &home, const PermitGrant &grant, Base::TimePoint now);
+    void handleRefusal(const PermitRefusal &refusal, Base::TimePoint now);
+    /// Reports the queried permits that are not in use as released.
+    void handlePermitQuery(const Base::HostId &home, const PermitQuery &query);
 
-    void backendHead(const BackendHead &head, Base::TimePoint now);
-    void backendPart(const BackendPart &part, Base::TimePoint now);
-    void backendFinished(const BackendFinished &finished, Base::TimePoint now);
-    void backendFailed(const BackendFailed &failed, Base::TimePoint now);
+    void handleBackendHead(const BackendHead &head, Base::TimePoint now);
+    void handleBackendPart(const BackendPart &part, Base::TimePoint now);
+    void handleBackendFinished(const BackendFinished &finished, Base::TimePoint now);
+    void handleBackendFailed(const BackendFailed &failed, Base::TimePoint now);
 
-    /// Compares what waits at \a home with what it says, and mends the difference.
+    /// Compares the requests that wait at \a home with its reply. Sends missing permit requests
+    /// again and cancels unwanted ones.
     void reconcile(const Base::HostId &home, const WaitingReply &reply, Base::TimePoint now);
-    std::vector<Base::HostId> takeSilentHomes() { return m_permits.takeSilentHomes(); }
-    /// The set of usable routers changed: asks new homes, tells them of permits in use.
-    void rehome(Base::TimePoint now);
+    /// Returns each home that left too many digests unanswered, once.
+    std::vector<Base::HostId> takeUnresponsiveHomes() { return m_permits.takeUnresponsiveHomes(); }
+    /// Called when the set of usable routers has changed. Sends waiting permit requests to the
+    /// new homes and reports the permits in use to them.
+    void moveToCurrentHome(Base::TimePoint now);
+    /// Sends due digests, expires requests past their deadline, fails attempts at idle backend
+    /// servers and runs due retries.
     void advance(Base::TimePoint now);
 
-    /// Text for an answer to a request that does not go to a backend server.
+    /// Returns a new request id, for the answer to a request that does not go to a backend
+    /// server.
     std::string newRequestId() { return Base::toString(newKey()); }
 
+    /// Returns the number of requests without a final answer.
     std::size_t size() const { return m_open.size(); }
 
 private:
@@ -80,17 +99,22 @@
                   Scheduling::RetryPolicy policy);
 
     Base::RequestKey newKey();
+    /// Returns the open request if \a attempt is its current one; else null.
     OpenRequest *find(const AttemptId &attempt);
-    void askPermit(OpenRequest &open, Base::TimePoint now);
+    void startAttempt(OpenRequest &open, Base::TimePoint now);
     void send(OpenRequest &open, Base::TimePoint now);
-    Scheduling::RetryDecision decide(const OpenRequest &open, const BackendFailed &failed,
-                                     Base::TimePoint now);
-    void takeNextStep(OpenRequest &open, Base::TimePoint now);
-    void replay(OpenRequest &open, const std::string &stored, Base::TimePoint now);
+    Scheduling::RetryDecision decideRetry(const OpenRequest &open, const BackendFailed &failed,
+                                          Base::TimePoint now);
+    void runNextRetryStep(OpenRequest &open, Base::TimePoint now);
+    /// Answers a repeated call with the stored answer of the first one.
+    void replay(OpenRequest &open, const std::string &storedAnswer, Base::TimePoint now);
     void failWith(OpenRequest &open, Failure failure, Base::TimePoint now);
-    void passDeadline(OpenRequest &open, Base::TimePoint now);
-    /// Takes the work back from its home or its backend server.
-    void dropWork(OpenRequest &open, Base::TimePoint now);
+    /// Fails a request whose deadline has passed.
+    void expire(OpenRequest &open, Base::TimePoint now);
+    /// Cancels the permit request at the home or the attempt at the backend server, and releases
+    /// the permit.
+    void cancelWork(OpenRequest &open, Base::TimePoint now);
+    /// Frees the claim of a failed request if its work certainly did not run; else abandons it.
     void settleClaim(const OpenRequest &open, Base::TimePoint now);
     void close(const Base::RequestKey &key);
 
--- a/src/libs/node/homewatch.h
+++ b/src/libs/node/homewatch.h
@@ -13,37 +13,40 @@
 
 namespace Node {
 
-struct HomeWatchPolicy
+struct HomeMonitorPolicy
 {
-    /// Between two digests to a home where requests wait. A lost message is found after at
-    /// most one of these and a round trip.
+    /// Interval between two digests to a home where requests wait. A lost message is detected
+    /// after at most one interval and a round trip.
     Base::Duration digestInterval = std::chrono::milliseconds(500);
-    /// Digests without a reply after which a home counts as gone: one may be lost.
-    int unansweredDigests = 2;
+    /// Number of consecutive digests without a reply that is still tolerated; at the next due
+    /// digest the home counts as unresponsive. More than one, because a single message may be lost.
+    int maxUnansweredDigests = 2;
 };
 
-/// The entry side's watch over the homes at which its requests wait.
+/// Monitors the homes at which the requests of this entry host wait for permits.
 ///
-/// Guards against a home that is frozen, cut off or restarted, and against lost messages:
-/// without it such a request would wait for ever while nobody knows of it. A digest per home
-/// costs the same however many requests wait.
-class HomeWatch
+/// The monitor detects homes that are frozen, cut off or restarted, and lost messages. Without it
+/// a request could wait forever while no home knows it. The entry host sends one digest per home,
+/// pool and shard, whose size does not depend on the number of waiting requests.
+class HomeMonitor
 {
 public:
-    struct Place
+    /// A home and the pool shard that it schedules.
+    struct ShardHome
     {
         Base::HostId home;
         Base::PoolId pool;
         std::uint32_t shard = 0;
 
-        auto operator<=>(const Place &) const = default;
+        auto operator<=>(const ShardHome &) const = default;
     };
 
+    /// Difference between the attempts that wait at a home and those that this entry host expects.
     struct Difference
     {
-        /// Waiting here, unknown there.
+        /// Attempts that wait at this entry host but are unknown to the home.
         std::vector<AttemptId> missing;
-        /// Waiting there, not wanted here.
+        /// Attempts that wait at the home but no longer at this entry host.
         std::vector<AttemptId> unwanted;
     };
 
@@ -53,31 +56,37 @@
         WaitingDigest message;
     };
 
-    explicit HomeWatch(const HomeWatchPolicy &policy);
+    explicit HomeMonitor(const HomeMonitorPolicy &policy);
 
-    void add(const Place &place, const AttemptId &attempt, Base::TimePoint now);
-    void remove(const Place &place, const AttemptId &attempt);
+    /// Starts monitoring an attempt that waits at a home.
+    void add(const ShardHome &shardHome, const AttemptId &attempt, Base::TimePoint now);
+    /// Stops monitoring an attempt.
+    void remove(const ShardHome &shardHome, const AttemptId &attempt);
+    /// Compares the reply of \a home to the latest digest with the waiting attempts. A reply to an
+    /// older digest gives no difference.
     Difference compare(const Base::HostId &home, const WaitingReply &reply);
 
-    /// Digests due at \a now.
+    /// Returns the digests that are due at \a now.
     std::vector<Digest> takeDigests(Base::TimePoint now);
-    /// Homes that left too many digests unanswered; told once.
-    std::vector<Base::HostId> takeSilentHomes();
+    /// Returns each home that left too many digests unanswered, once.
+    std::vector<Base::HostId> takeUnresponsiveHomes();
 
 private:
-    struct Watch
+    struct WaitState
     {
         WaitingSet waiting;
-        /// What was waiting when the last digest was made.
-        std::vector<AttemptId> compared;
+        /// The attempts that the last digest covered.
+        std::vector<AttemptId> digested;
+        /// Serial number of the last digest.
         std::uint64_t number = 0;
+        /// Number of digests since the last reply.
         int unanswered = 0;
         Base::TimePoint nextDigest{};
     };
 
-    HomeWatchPolicy m_policy;
-    std::map<Place, Watch> m_watches;
-    std::vector<Base::HostId> m_silent;
+    HomeMonitorPolicy m_policy;
+    std::map<ShardHome, WaitState> m_waitStates;
+    std::vector<Base::HostId> m_unresponsive;
 };
 
 } // namespace Node
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How often the entry side looks for digests, deadlines and pauses that are due.
+/// Interval at which the entry side checks for due digests, deadlines and retries.
 constexpr Base::Duration entryAdvanceInterval = std::chrono::milliseconds(20);
 
 } // namespace
@@ -18,9 +18,9 @@
                                                  const Environment &environment)
 {
     std::unique_ptr<Node> node(new Node(settings, environment));
-    Base::Result<void> assembled = node->assemble();
-    if (!assembled)
-        return assembled.error();
+    Base::Result<void> initialized = node->initialize();
+    if (!initialized)
+        return initialized.error();
     return node;
 }
 
@@ -29,7 +29,7 @@
     , m_environment(environment)
 {}
 
-Base::Result<void> Node::assemble()
+Base::Result<void> Node::initialize()
 {
     BOOST_LEAF_AUTO(table, Storage::TableGateway::create(m_settings.table, m_environment.table,
                                                          m_environment.random));
@@ -51,20 +51,21 @@
     BOOST_LEAF_AUTO(sweeper,
                     Claims::ClaimSweeper::create(m_settings.sweep, *m_table, m_operations));
     m_sweeper = std::make_unique<Claims::ClaimSweeper>(std::move(sweeper));
-    m_orders = std::make_unique<HomeOrders>(*m_membership);
-    m_homes = std::make_unique<PoolHomes>(HomeContext{
-        m_settings, m_environment, *m_membership, *m_configuration, m_directory, *m_orders, *this});
+    m_homeOrders = std::make_unique<HomeOrderCache>(*m_membership);
+    m_homes = std::make_unique<PoolHomes>(HomeContext{m_settings, m_environment, *m_membership,
+                                                      *m_configuration, m_directory, *m_homeOrders,
+                                                      *this});
     BOOST_LEAF_AUTO(
         entry, EntryRequests::create({m_settings, m_environment, *m_membership, *m_configuration,
-                                      m_directory, *m_claims, *m_homes, *m_orders, *this}));
-    m_entry = std::move(entry);
+                                      m_directory, *m_claims, *m_homes, *m_homeOrders, *this}));
+    m_entryRequests = std::move(entry);
     return {};
 }
 
 void Node::handle(const Event &event, Base::TimePoint now)
 {
     std::visit([&](const auto &it) { on(it, now); }, event);
-    finishTurn(now);
+    processPendingWork(now);
 }
 
 void Node::advance(Base::TimePoint now)
@@ -79,10 +80,10 @@
     sendHeartbeats(now);
     if (now >= m_nextEntryAdvance) {
         m_nextEntryAdvance = now + entryAdvanceInterval;
-        m_entry->advance(now);
+        m_entryRequests->advance(now);
     }
     m_homes->advance(now);
-    finishTurn(now);
+    processPendingWork(now);
 }
 
 Base::TimePoint Node::nextDue() const
@@ -94,16 +95,17 @@
 
 bool Node::isDrained(Base::TimePoint now) const
 {
-    if (!m_isLeaving || m_entry->size() > 0 || !m_idleSince)
+    if (!m_isLeaving || m_entryRequests->size() > 0 || !m_idleSince)
         return false;
-    // A table that is down must not hold the exit for ever; what is not written then reads as
-    // "may have run", which is safe.
-    return m_claims->unsettled() == 0 || now - *m_idleSince >= claimSettleLimit;
+    // A table that is down must not block the exit forever. A claim whose end is not written is
+    // read as "may have run", which is safe.
+    return m_claims->unsettled() == 0 || now - *m_idleSince >= claimSettleTimeout;
 }
 
 bool Node::isSweeper() const
 {
-    return !m_isLeaving && m_orders->home(Base::PoolId(sweepPool), 0) == m_settings.self.host;
+    return !m_isLeaving
+           && m_homeOrders->home(Base::PoolId(claimSweepPool), 0) == m_settings.self.host;
 }
 
 NodeStatus Node::status() const
@@ -113,7 +115,7 @@
     status.isLeaving = m_isLeaving;
     status.version = m_configuration->configuration().version();
     status.liveRouters = m_membership->usableRouters().size();
-    status.openRequests = m_entry->size();
+    status.openRequests = m_entryRequests->size();
     status.waitingHere = m_homes->waiting();
     return status;
 }
@@ -121,7 +123,7 @@
 void Node::post(const Base::HostId &to, const PeerMessage &message)
 {
     if (to == m_settings.self.host) {
-        m_local.push_back(message);
+        m_localMessages.push_back(message);
         return;
     }
     const auto it = m_membership->others().find(to);
@@ -131,14 +133,14 @@
 
 void Node::deliverLocally(Base::TimePoint now)
 {
-    while (!m_local.empty()) {
-        const PeerMessage message = std::move(m_local.front());
-        m_local.pop_front();
+    while (!m_localMessages.empty()) {
+        const PeerMessage message = std::move(m_localMessages.front());
+        m_localMessages.pop_front();
         std::visit([&](const auto &it) { receive(m_settings.self.host, it, now); }, message);
     }
 }
 
-void Node::deliverOutcomes(Base::TimePoint now)
+void Node::deliverTableOutcomes(Base::TimePoint now)
 {
     m_table->advance(now);
     for (const Storage::TableOutcome &outcome : m_table->takeOutcomes()) {
@@ -149,44 +151,44 @@
     }
 }
 
-void Node::finishTurn(Base::TimePoint now)
+void Node::processPendingWork(Base::TimePoint now)
 {
-    deliverOutcomes(now);
+    deliverTableOutcomes(now);
     for (const Claims::ClaimOutcome &outcome : m_claims->takeOutcomes())
-        m_entry->claimDecided(outcome, now);
+        m_entryRequests->handleClaimOutcome(outcome, now);
     answerTargetWrites(now);
-    for (const Base::HostId &home : m_entry->takeSilentHomes())
+    for (const Base::HostId &home : m_entryRequests->takeUnresponsiveHomes())
         m_membership->recordUnreachable(home, now);
-    applyView(now);
+    applyMembershipView(now);
     deliverLocally(now);
     m_homes->balance(now);
     deliverLocally(now);
-    if (m_isLeaving && m_entry->size() == 0 && !m_idleSince)
+    if (m_isLeaving && m_entryRequests->size() == 0 && !m_idleSince)
         m_idleSince = now;
-    if (m_entry->size() > 0)
+    if (m_entryRequests->size() > 0)
         m_idleSince.reset();
-    // What this turn asked of the table leaves now.
+    // Sends the table operations that were queued while this event was processed.
     m_table->advance(now);
 }
 
 void Node::on(const CallerRequest &event, Base::TimePoint now)
 {
-    m_entry->open(event, now);
+    m_entryRequests->open(event, now);
 }
 
 void Node::on(const CallerGone &event, Base::TimePoint now)
 {
-    m_entry->callerGone(event.caller, now);
+    m_entryRequests->handleCallerDisconnected(event.caller, now);
 }
 
 void Node::on(const CallerBlocked &event, Base::TimePoint)
 {
-    m_entry->callerBlocked(event.caller);
+    m_entryRequests->handleCallerBlocked(event.caller);
 }
 
 void Node::on(const CallerReady &event, Base::TimePoint now)
 {
-    m_entry->callerReady(event.caller, now);
+    m_entryRequests->handleCallerUnblocked(event.caller, now);
 }
 
 void Node::on(const EntryHostsAsked &event, Base::TimePoint)
@@ -239,22 +241,22 @@
 
 void Node::on(const BackendHead &event, Base::TimePoint now)
 {
-    m_entry->backendHead(event, now);
+    m_entryRequests->handleBackendHead(event, now);
 }
 
 void Node::on(const BackendPart &event, Base::TimePoint now)
 {
-    m_entry->backendPart(event, now);
+    m_entryRequests->handleBackendPart(event, now);
 }
 
 void Node::on(const BackendFinished &event, Base::TimePoint now)
 {
-    m_entry->backendFinished(event, now);
+    m_entryRequests->handleBackendFinished(event, now);
 }
 
 void Node::on(const BackendFailed &event, Base::TimePoint now)
 {
-    m_entry->backendFailed(event, now);
+    m_entryRequests->handleBackendFailed(event, now);
 }
 
 void Node::on(const BackendLoad &event, Base::TimePoint now)
@@ -306,12 +308,12 @@
 
 void Node::receive(const Base::HostId &from, const PermitGrant &message, Base::TimePoint now)
 {
-    m_entry->granted(from, message, now);
+    m_entryRequests->handleGrant(from, message, now);
 }
 
 void Node::receive(const Base::HostId &, const PermitRefusal &message, Base::TimePoint now)
 {
-    m_entry->refused(message, now);
+    m_entryRequests->handleRefusal(message, now);
 }
 
 void Node::receive(const Base::HostId &, const PermitCancel &message, Base::TimePoint now)
@@ -335,12 +337,12 @@
 void Node::receive(const Base::HostId &from, const PermitHeld &message, Base::TimePoint now)
 {
     if (PoolHome *pool = m_homes->home(message.pool, message.shard))
-        pool->adopt(from, message, now);
+        pool->adoptPermit(from, message, now);
 }
 
 void Node::receive(const Base::HostId &from, const PermitQuery &message, Base::TimePoint)
 {
-    m_entry->queried(from, message);
+    m_entryRequests->handlePermitQuery(from, message);
 }
 
 void Node::receive(const Base::HostId &from, const WaitingDigest &message, Base::TimePoint)
@@ -350,7 +352,7 @@
 
 void Node::receive(const Base::HostId &from, const WaitingReply &message, Base::TimePoint now)
 {
-    m_entry->reconcile(from, message, now);
+    m_entryRequests->reconcile(from, message, now);
 }
 
 void Node::receive(const Base::HostId &from, const Coordination::LedgerDelta &message,
@@ -380,15 +382,15 @@
 
 void Node::receive(const Base::HostId &from, const WorkAsk &message, Base::TimePoint now)
 {
-    m_homes->giveWork(from, message, now);
+    m_homes->answerWorkAsk(from, message, now);
 }
 
 void Node::receive(const Base::HostId &, const WorkHandover &message, Base::TimePoint now)
 {
-    m_homes->takeWork(message, now);
+    m_homes->acceptHandover(message, now);
 }
 
-void Node::applyView(Base::TimePoint now)
+void Node::applyMembershipView(Base::TimePoint now)
 {
     const bool isViewChanged = m_appliedView != m_membership->viewVersion();
     if (!isViewChanged && !m_isDirectoryChanged)
@@ -399,7 +401,7 @@
     m_configuration->setPolling(m_membership->zonePoller() == m_settings.self.host);
     m_table->setFleetSize(m_membership->usableRouters().size());
     m_homes->refresh(now);
-    m_entry->rehome(now);
+    m_entryRequests->moveToCurrentHome(now);
 }
 
 void Node::sendHeartbeats(Base::TimePoint now)
@@ -413,7 +415,7 @@
     m_membership->omitUnchanged(*heartbeat);
     for (const auto &[host, member] : m_membership->others())
         post(host, *heartbeat);
-    m_homes->refreshClaims();
+    m_homes->refreshClassClaims();
 }
 
 void Node::answerTargetWrites(Base::TimePoint)
@@ -435,7 +437,7 @@
             failure.ran = Ran::Unknown;
         if (failure.type == FailureType::PlatformDown)
             failure.retryAfter = claimRetryAfter;
-        failure.requestId = m_entry->newRequestId();
+        failure.requestId = m_entryRequests->newRequestId();
         m_environment.callers.fail(result.handle, failure);
     }
 }
--- a/src/libs/node/poolhomes.cpp
+++ b/src/libs/node/poolhomes.cpp
@@ -22,57 +22,57 @@
     const ServerDirectory &directory = m_context.directory;
     if (!directory.hasPool(pool) || shard >= directory.shards(pool))
         return nullptr;
-    Coordination::ServiceLedger *account = ledger(pool);
-    if (!account)
+    Coordination::ServiceLedger *poolLedger = ledger(pool);
+    if (!poolLedger)
         return nullptr;
-    auto created = PoolHome::create(m_context.settings, pool, shard, *account, m_context.outbox,
+    auto created = PoolHome::create(m_context.settings, pool, shard, *poolLedger, m_context.outbox,
                                     m_context.environment.random);
     if (!created)
         return nullptr;
     PoolHome &added = *(m_homes[key] = std::move(*created));
     added.setServers(directory.usable(pool, shard));
-    added.setClaims(m_context.configuration.configuration());
+    added.setClassClaims(m_context.configuration.configuration());
     return &added;
 }
 
 void PoolHomes::merge(const Base::HostId &from, const Coordination::LedgerDelta &delta)
 {
-    Coordination::ServiceLedger *account = ledger(delta.pool);
-    if (!account)
+    Coordination::ServiceLedger *poolLedger = ledger(delta.pool);
+    if (!poolLedger)
         return;
-    const bool isFolded = account->merge(delta) == Coordination::MergeResult::SenderIsFolded;
+    const bool isFolded = poolLedger->merge(delta) == Coordination::MergeResult::SenderIsFolded;
     if (isFolded || delta.isSnapshotRequest)
-        m_context.outbox.post(from, account->snapshot());
+        m_context.outbox.post(from, poolLedger->snapshot());
 }
 
 void PoolHomes::answerDigest(const Base::HostId &from, const WaitingDigest &digest)
 {
-    // A home that does not know the pool yet answers too: it is not gone.
-    const PoolHome *at = home(digest.pool, digest.shard);
+    // A router that does not know the pool yet also replies; else it would count as failed.
+    const PoolHome *knownHome = home(digest.pool, digest.shard);
     const WaitingReply unknown{digest.pool, digest.shard, digest.number, false, {}};
-    m_context.outbox.post(from, at ? at->compare(from, digest) : unknown);
+    m_context.outbox.post(from, knownHome ? knownHome->compare(from, digest) : unknown);
 }
 
-void PoolHomes::giveWork(const Base::HostId &, const WorkAsk &ask, Base::TimePoint now)
+void PoolHomes::answerWorkAsk(const Base::HostId &, const WorkAsk &ask, Base::TimePoint now)
 {
-    PoolHome *crowded = home(ask.pool, ask.shard);
-    if (!crowded)
+    PoolHome *donor = home(ask.pool, ask.shard);
+    if (!donor)
         return;
     Scheduling::HandoverPlanner &planner = m_planners[{ask.pool, ask.shard}];
-    const std::size_t count = planner.answer(ask.asker, ask.count, crowded->waiting(), now);
-    handOver(*crowded, {ask.asker, count}, true, now);
+    const std::size_t count = planner.answer(ask.asker, ask.count, donor->waiting(), now);
+    handOver(*donor, {ask.asker, count}, true, now);
 }
 
-void PoolHomes::takeWork(const WorkHandover &handover, Base::TimePoint now)
+void PoolHomes::acceptHandover(const WorkHandover &handover, Base::TimePoint now)
 {
-    PoolHome *idle = home(handover.pool, handover.shard);
-    if (!idle)
+    PoolHome *receiver = home(handover.pool, handover.shard);
+    if (!receiver)
         return;
     if (handover.isAnswer)
         m_planners[{handover.pool, handover.shard}].recordAnswer(handover.from,
                                                                  handover.requests.size(), now);
     for (const PermitRequest &request : handover.requests)
-        idle->request(request, now);
+        receiver->request(request, now);
 }
 
 void PoolHomes::recordLoad(const BackendLoad &load, Base::TimePoint now)
@@ -85,14 +85,14 @@
 {
     for (auto &[key, home] : m_homes)
         home->setServers(m_context.directory.usable(key.first, key.second));
-    forgetLostEntries(now);
-    dropUnused();
+    dropLostEntryHosts(now);
+    removeUnusedHomes();
 }
 
-void PoolHomes::refreshClaims()
+void PoolHomes::refreshClassClaims()
 {
     for (auto &[key, home] : m_homes)
-        home->setClaims(m_context.configuration.configuration());
+        home->setClassClaims(m_context.configuration.configuration());
 }
 
 void PoolHomes::balance(Base::TimePoint now)
@@ -107,8 +107,8 @@
 {
     const Coordination::PoolSummary own = home.summary();
     const bool isIdle = own.waiting == 0 && own.freePermits > 0;
-    const bool isCrowded = own.waiting > 0 && own.freePermits == 0;
-    if (!isIdle && !isCrowded)
+    const bool isBacklogged = own.waiting > 0 && own.freePermits == 0;
+    if (!isIdle && !isBacklogged)
         return;
     Scheduling::HandoverPlanner &planner = m_planners[key];
     if (isIdle) {
@@ -177,17 +177,17 @@
         summary.receivedAt = now;
         const auto own = m_homes.find({pool, shard});
         const std::vector<Base::HostId> &order = homeOrder(pool, shard);
-        const Base::HostId at = order.empty() ? Base::HostId() : order.front();
-        const auto member = m_context.membership.others().find(at);
-        if (at == m_context.settings.self.host && own != m_homes.end()) {
-            const Coordination::PoolSummary told = own->second->summary();
-            summary = {shard, told.waiting, told.freePermits, told.drainRate, now};
+        const Base::HostId homeHost = order.empty() ? Base::HostId() : order.front();
+        const auto member = m_context.membership.others().find(homeHost);
+        if (homeHost == m_context.settings.self.host && own != m_homes.end()) {
+            const Coordination::PoolSummary reported = own->second->summary();
+            summary = {shard, reported.waiting, reported.freePermits, reported.drainRate, now};
         } else if (member != m_context.membership.others().end()) {
             summary.receivedAt = member->second.heardAt;
-            for (const Coordination::PoolSummary &told : member->second.pools) {
-                if (told.pool != pool || told.shard != shard)
+            for (const Coordination::PoolSummary &reported : member->second.pools) {
+                if (reported.pool != pool || reported.shard != shard)
                     continue;
-                summary = {shard, told.waiting, told.freePermits, told.drainRate,
+                summary = {shard, reported.waiting, reported.freePermits, reported.drainRate,
                            member->second.heardAt};
             }
         }
@@ -222,10 +222,10 @@
 const std::vector<Base::HostId> &PoolHomes::homeOrder(const Base::PoolId &pool,
                                                       std::uint32_t shard) const
 {
-    return m_context.orders.order(pool, shard);
+    return m_context.homeOrders.order(pool, shard);
 }
 
-void PoolHomes::forgetLostEntries(Base::TimePoint now)
+void PoolHomes::dropLostEntryHosts(Base::TimePoint now)
 {
     for (const auto &[host, member] : m_context.membership.others()) {
         const Base::Incarnation served = m_entryIncarnations[host];
@@ -234,13 +234,14 @@
         if (member.isAlive && !isRestarted)
             continue;
         for (auto &[key, home] : m_homes)
-            home->forgetEntry(host, now);
+            home->dropEntryHost(host, now);
     }
 }
 
-void PoolHomes::dropUnused()
+void PoolHomes::removeUnusedHomes()
 {
-    // A home that has moved on is kept until the last permit that it gave is back.
+    // After a shard has moved to another home, the old one is kept until its queue is empty and
+    // its last permit is released.
     std::erase_if(m_homes, [&](const auto &entry) {
         const auto &[key, home] = entry;
         const std::vector<Base::HostId> &order = homeOrder(key.first, key.second);
@@ -256,8 +257,8 @@
 {
     if (!m_ledgerInterval.take(now, m_context.environment.peers.stretch(now)))
         return;
-    for (auto &[pool, account] : m_ledgers)
-        sendLedger(pool, *account, now);
+    for (auto &[pool, poolLedger] : m_ledgers)
+        sendLedger(pool, *poolLedger, now);
 }
 
 void PoolHomes::sendLedger(const Base::PoolId &pool, Coordination::ServiceLedger &ledger,
@@ -267,7 +268,8 @@
     const std::optional<Coordination::LedgerDelta> delta = ledger.takeDelta(ledgerEntriesPerDelta);
     if (!delta)
         return;
-    // To the homes of the pool, which order by it, and to their standbys, which would have to.
+    // The homes of the pool order their queues by the ledger, and each standby needs it to take
+    // over from its home.
     constexpr std::ptrdiff_t homeAndStandby = 2;
     std::set<Base::HostId> receivers;
     for (std::uint32_t shard = 0; shard < m_context.directory.shards(pool); ++shard) {
--- a/src/libs/node/requestrecorder.h
+++ b/src/libs/node/requestrecorder.h
@@ -9,16 +9,18 @@
 
 namespace Node {
 
-/// Tells the observer of the hops and the end of the requests of one entry host.
+/// Reports the hops and the end of the requests of one entry host to the observer.
 class RequestRecorder
 {
 public:
     RequestRecorder(NodeObserver &observer, const Base::HostId &self);
 
-    void hop(const OpenRequest &open, Hop hop, Base::TimePoint begin, Base::TimePoint end,
-             const std::string &place, bool isFailed);
-    /// \a failure is null if the answer came whole or the caller left.
-    void end(const OpenRequest &open, const Failure *failure, Base::TimePoint now);
+    /// Reports one hop of a request.
+    void recordHop(const OpenRequest &open, Hop hop, Base::TimePoint begin, Base::TimePoint end,
+                   const std::string &place, bool isFailed);
+    /// Reports the end of a request. \a failure is null if the answer is complete or the caller
+    /// disconnected.
+    void recordEnd(const OpenRequest &open, const Failure *failure, Base::TimePoint now);
 
 private:
     NodeObserver *m_observer;
