--- a/tools/measure/baseline.cpp
+++ b/tools/measure/baseline.cpp
@@ -27,7 +27,7 @@
         , m_customer(VirtualFleet::decodeWork(request.body).customer)
     {}
 
-    void begun() override {}
+    void started() override {}
     void part(std::uint64_t, const std::string &payload, Base::ServiceUnits units) override
     {
         m_owner->m_queue->after(m_owner->m_latency, [this, payload, units] {
--- a/tools/virtualfleet/modelserver.cpp
+++ b/tools/virtualfleet/modelserver.cpp
@@ -31,7 +31,7 @@
         return false;
     Job &job = it->second;
     job.sink = sink;
-    sink->begun();
+    sink->started();
     for (std::uint64_t index = fromPart; index < job.parts; ++index)
         sink->part(index, payload(job, index), 0);
     return true;
@@ -120,7 +120,7 @@
         m_listener(job.work, units);
     AnswerSink *const sink = job.sink;
     if (sink && isFirst)
-        sink->begun();
+        sink->started();
     if (sink)
         sink->part(index, payload(job, index), units);
     if (job.generated < job.work.generatedTokens) {
--- a/tools/virtualfleet/modelserver.h
+++ b/tools/virtualfleet/modelserver.h
@@ -30,7 +30,7 @@
 {
 public:
     virtual ~AnswerSink() = default;
-    virtual void begun() = 0;
+    virtual void started() = 0;
     virtual void part(std::uint64_t index, const std::string &payload,
                       Base::ServiceUnits units) = 0;
     virtual void finished(std::uint64_t parts) = 0;
--- a/tools/virtualfleet/virtualrouter.cpp
+++ b/tools/virtualfleet/virtualrouter.cpp
@@ -17,7 +17,7 @@
         , m_server(request.server)
     {}
 
-    void begun() override
+    void started() override
     {
         tell(Node::BackendHead{m_attempt, 200, "text/event-stream", std::to_string(m_token)});
     }
