--- a/tools/virtualfleet/fleet.h
+++ b/tools/virtualfleet/fleet.h
@@ -57,7 +57,7 @@
     bool isServerDead(const Base::ServerId &id) const { return m_dead.count(id) > 0; }
     /// Share of messages between routers that are lost from now on.
     void setLossShare(double share) { m_shape.lossShare = share; }
-    void setDoubleShare(double share) { m_shape.doubleShare = share; }
+    void setDoubleShare(double share) { m_shape.duplicateShare = share; }
     /// Draws whether something with a chance of \a share happens now.
     bool draw(double share);
     void markLeaving(const std::string &host);
--- a/tools/virtualfleet/fleetshape.h
+++ b/tools/virtualfleet/fleetshape.h
@@ -38,8 +38,8 @@
     double lossShare = 0;
     /// Share of messages between routers, and of answers of servers, that come a second time,
     /// late.
-    double doubleShare = 0;
-    Base::Duration doubleDelay = std::chrono::milliseconds(300);
+    double duplicateShare = 0;
+    Base::Duration duplicateDelay = std::chrono::milliseconds(300);
     Node::NodeSettings node;
 };
 
--- a/tools/virtualfleet/virtualrouter.cpp
+++ b/tools/virtualfleet/virtualrouter.cpp
@@ -47,8 +47,8 @@
         const FleetShape &shape = router->m_fleet->shape();
         const auto deliver = [router, event] { router->handle(event); };
         router->later(shape.latency, deliver);
-        if (router->m_fleet->draw(shape.doubleShare))
-            router->later(shape.latency + shape.doubleDelay, deliver);
+        if (router->m_fleet->draw(shape.duplicateShare))
+            router->later(shape.latency + shape.duplicateDelay, deliver);
     }
 
     VirtualRouter *m_router;
@@ -210,8 +210,8 @@
     };
     const FleetShape &shape = fleet->shape();
     fleet->queue().after(shape.latency, deliver);
-    if (fleet->draw(shape.doubleShare))
-        fleet->queue().after(shape.latency + shape.doubleDelay, deliver);
+    if (fleet->draw(shape.duplicateShare))
+        fleet->queue().after(shape.latency + shape.duplicateDelay, deliver);
 }
 
 void VirtualRouter::send(const Node::BackendRequest &request)
