--- a/tools/virtualfleet/fleet.cpp
+++ b/tools/virtualfleet/fleet.cpp
@@ -107,7 +107,7 @@
     }
 }
 
-bool Fleet::draw(double share)
+bool Fleet::drawChance(double share)
 {
     constexpr std::uint64_t steps = 1000000;
     return share > 0 && static_cast<double>(m_random.next() % steps) < share * steps;
--- a/tools/virtualfleet/fleet.h
+++ b/tools/virtualfleet/fleet.h
@@ -59,7 +59,7 @@
     void setLossShare(double share) { m_shape.lossShare = share; }
     void setDoubleShare(double share) { m_shape.duplicateShare = share; }
     /// Draws whether something with a chance of \a share happens now.
-    bool draw(double share);
+    bool drawChance(double share);
     void markLeaving(const std::string &host);
 
     /// Sends a caller's request to one router's node.
--- a/tools/virtualfleet/virtualrouter.cpp
+++ b/tools/virtualfleet/virtualrouter.cpp
@@ -47,7 +47,7 @@
         const FleetShape &shape = router->m_fleet->shape();
         const auto deliver = [router, event] { router->handle(event); };
         router->later(shape.latency, deliver);
-        if (router->m_fleet->draw(shape.duplicateShare))
+        if (router->m_fleet->drawChance(shape.duplicateShare))
             router->later(shape.latency + shape.duplicateDelay, deliver);
     }
 
@@ -192,7 +192,7 @@
     ++m_messages;
     Fleet *fleet = m_fleet;
     VirtualRouter *target = fleet->routerByName(to);
-    if (fleet->draw(fleet->shape().lossShare))
+    if (fleet->drawChance(fleet->shape().lossShare))
         return;
     if (!target) {
         // The host is up but the process is not: the connection is refused.
@@ -210,7 +210,7 @@
     };
     const FleetShape &shape = fleet->shape();
     fleet->queue().after(shape.latency, deliver);
-    if (fleet->draw(shape.duplicateShare))
+    if (fleet->drawChance(shape.duplicateShare))
         fleet->queue().after(shape.latency + shape.duplicateDelay, deliver);
 }
 
