--- a/tools/virtualfleet/fleet.cpp
+++ b/tools/virtualfleet/fleet.cpp
@@ -64,18 +64,18 @@
     m_routers[index]->handle(Node::HostListArrived{listing()});
 }
 
-void Fleet::setCut(std::size_t a, std::size_t b, bool isCut)
+void Fleet::setCut(std::size_t a, std::size_t b, bool isPartitioned)
 {
     const std::pair<std::size_t, std::size_t> pair = std::minmax(a, b);
-    if (isCut)
-        m_cuts.insert(pair);
+    if (isPartitioned)
+        m_partitions.insert(pair);
     else
-        m_cuts.erase(pair);
+        m_partitions.erase(pair);
 }
 
-bool Fleet::isCut(std::size_t a, std::size_t b) const
+bool Fleet::isPartitioned(std::size_t a, std::size_t b) const
 {
-    return m_cuts.count(std::minmax(a, b)) > 0;
+    return m_partitions.count(std::minmax(a, b)) > 0;
 }
 
 ModelServer *Fleet::server(const Base::ServerId &id)
--- a/tools/virtualfleet/fleet.h
+++ b/tools/virtualfleet/fleet.h
@@ -45,8 +45,8 @@
     /// Starts a router that is down, cold, with a larger incarnation.
     void restart(std::size_t index);
     /// Cuts, or mends, the network between two routers, both ways.
-    void setCut(std::size_t a, std::size_t b, bool isCut);
-    bool isCut(std::size_t a, std::size_t b) const;
+    void setCut(std::size_t a, std::size_t b, bool isPartitioned);
+    bool isPartitioned(std::size_t a, std::size_t b) const;
 
     std::map<Base::ServerId, std::unique_ptr<ModelServer>> &servers() { return m_servers; }
     ModelServer *server(const Base::ServerId &id);
@@ -86,7 +86,7 @@
     std::map<Base::ServerId, Base::PoolId> m_poolOfServer;
     std::set<Base::ServerId> m_dead;
     std::set<std::string> m_leaving;
-    std::set<std::pair<std::size_t, std::size_t>> m_cuts;
+    std::set<std::pair<std::size_t, std::size_t>> m_partitions;
     std::vector<Base::Incarnation> m_incarnations;
     std::vector<std::unique_ptr<VirtualRouter>> m_routers;
     std::uint64_t m_listingVersion = 1;
--- a/tools/virtualfleet/virtualrouter.cpp
+++ b/tools/virtualfleet/virtualrouter.cpp
@@ -204,7 +204,7 @@
     const Base::Incarnation incarnation = m_incarnation;
     const auto deliver = [fleet, from, index, incarnation, message] {
         VirtualRouter *receiver = fleet->router(index);
-        if (!receiver || fleet->isCut(from, index))
+        if (!receiver || fleet->isPartitioned(from, index))
             return;
         receiver->handle(Node::PeerMessageArrived{routerName(from), incarnation, message});
     };
