--- a/tools/virtualfleet/fleet.cpp
+++ b/tools/virtualfleet/fleet.cpp
@@ -91,19 +91,19 @@
         return;
     }
     m_dead.insert(id);
-    cutTransfers(id, true);
+    breakTransfers(id, true);
 }
 
 void Fleet::cutStreams(const Base::ServerId &id)
 {
-    cutTransfers(id, false);
+    breakTransfers(id, false);
 }
 
-void Fleet::cutTransfers(const Base::ServerId &id, bool isWorkLost)
+void Fleet::breakTransfers(const Base::ServerId &id, bool isWorkLost)
 {
     for (const std::unique_ptr<VirtualRouter> &router : m_routers) {
         if (router)
-            router->cutTransfers(id, isWorkLost);
+            router->breakTransfers(id, isWorkLost);
     }
 }
 
--- a/tools/virtualfleet/fleet.h
+++ b/tools/virtualfleet/fleet.h
@@ -73,7 +73,7 @@
     void runFor(Base::Duration length) { m_queue.runUntil(m_queue.now() + length); }
 
 private:
-    void cutTransfers(const Base::ServerId &id, bool isWorkLost);
+    void breakTransfers(const Base::ServerId &id, bool isWorkLost);
     void seedTable();
     void publishHosts();
     Storage::HostListing listing() const;
--- a/tools/virtualfleet/virtualrouter.cpp
+++ b/tools/virtualfleet/virtualrouter.cpp
@@ -133,7 +133,7 @@
         handle(event);
 }
 
-void VirtualRouter::cutTransfers(const Base::ServerId &id, bool isWorkLost)
+void VirtualRouter::breakTransfers(const Base::ServerId &id, bool isWorkLost)
 {
     ModelServer *server = m_fleet->server(id);
     for (const auto &[attempt, transfer] : m_transfers) {
--- a/tools/virtualfleet/virtualrouter.h
+++ b/tools/virtualfleet/virtualrouter.h
@@ -42,7 +42,7 @@
     bool isFrozen() const { return m_isFrozen; }
     /// Every exchange with \a server is cut in the middle. The server drops the work, or keeps
     /// the stream for whoever resumes it.
-    void cutTransfers(const Base::ServerId &server, bool isWorkLost);
+    void breakTransfers(const Base::ServerId &server, bool isWorkLost);
     /// Starts the node's timer.
     void start();
 
