--- a/tools/slopes/coordinationslopes.cpp
+++ b/tools/slopes/coordinationslopes.cpp
@@ -70,7 +70,7 @@
     nextHeartbeat(sender, now += 500ms, random);
     std::vector<Coordination::Heartbeat> sent;
     const std::string sizes =
-        shape("members", members) + std::string(isFull ? " full" : " minimal");
+        sizeLabel("members", members) + std::string(isFull ? " full" : " minimal");
     const auto add = [&](const char *what, double value, const char *unit) {
         report.add({what, sizes, value, unit});
     };
@@ -124,7 +124,8 @@
 void measureDelta(const Report &report, std::size_t customers, std::size_t changed)
 {
     const std::vector<Base::CustomerId> names = customerNames(customers);
-    const std::string sizes = shape("customers", customers) + " " + shape("changed", changed);
+    const std::string sizes =
+        sizeLabel("customers", customers) + " " + sizeLabel("changed", changed);
     std::size_t before = allocatedBytes();
     Coordination::ServiceLedger home = makeLedger(17);
     for (const Base::CustomerId &name : names)
@@ -168,11 +169,11 @@
         const double full = measureHeartbeat(report, members, true, seed);
         const double minimal = measureHeartbeat(report, members, false, seed);
         const double mean = (full + 29 * minimal) / 30;
-        report.add({"heartbeats to all peers", shape("members", members),
+        report.add({"heartbeats to all peers", sizeLabel("members", members),
                     mean * 2 * static_cast<double>(members - 1), "B/s"});
         Coordination::Membership membership = makeMembership(members, 30);
         Base::TimePoint now{1s};
-        report.add({"membership advance", shape("members", members),
+        report.add({"membership advance", sizeLabel("members", members),
                     medianMicroseconds(500, [&] { membership.advance(now += 10ms); }), "us"});
     }
 }
@@ -187,7 +188,7 @@
 void measureConfiguration(const Report &report)
 {
     for (const std::size_t customers : {16, 9400}) {
-        const std::string sizes = shape("customers", customers);
+        const std::string sizes = sizeLabel("customers", customers);
         const std::size_t before = allocatedBytes();
         Settings::Configuration configuration;
         Settings::ConfigurationVersion version = 0;
@@ -244,7 +245,7 @@
         for (std::size_t i = 0; i < routers; ++i)
             names.push_back(hostName(i));
         std::uint32_t shard = 0;
-        report.add({"home order", shape("routers", routers),
+        report.add({"home order", sizeLabel("routers", routers),
                     medianMicroseconds(200,
                                        [&] {
                                            Coordination::homeOrder(Base::PoolId("model/general-7b"),
--- a/tools/slopes/fleetslopes.cpp
+++ b/tools/slopes/fleetslopes.cpp
@@ -61,7 +61,7 @@
     VirtualFleet::Fleet fleet(fleetShape);
     fleet.setMessageSize(wireSize);
     fleet.runFor(settling);
-    measureRun(report, fleet, "idle " + shape("routers", routers));
+    measureRun(report, fleet, "idle " + sizeLabel("routers", routers));
 }
 
 void measureLoaded(const Report &report, const std::string &name, std::uint64_t seed)
--- a/tools/slopes/homeslopes.cpp
+++ b/tools/slopes/homeslopes.cpp
@@ -62,7 +62,7 @@
 
 void measureDispatch(const Report &report, std::size_t customers, std::uint64_t seed)
 {
-    const std::string sizes = shape("backlogged", customers) + " servers=24";
+    const std::string sizes = sizeLabel("backlogged", customers) + " servers=24";
     Base::SeededRandom random(seed);
     Answers answers;
     auto ledger =
@@ -134,7 +134,7 @@
         open.emplace(request.key, std::move(request));
     }
     const auto memory = static_cast<double>(allocatedBytes() - before);
-    report.add({"open request, core", shape("body", bodyBytes), memory / count, "B"});
+    report.add({"open request, core", sizeLabel("body", bodyBytes), memory / count, "B"});
 }
 
 } // namespace
--- a/tools/slopes/instruments.cpp
+++ b/tools/slopes/instruments.cpp
@@ -44,7 +44,7 @@
     return batch ? batch->messages.size() : 0;
 }
 
-std::string shape(const std::string &name, std::size_t value)
+std::string sizeLabel(const std::string &name, std::size_t value)
 {
     return name + "=" + std::to_string(value);
 }
--- a/tools/slopes/instruments.h
+++ b/tools/slopes/instruments.h
@@ -36,6 +36,6 @@
 std::string encode(const Node::PeerMessage &message);
 /// Reads a batch; its messages are dropped. Returns their number.
 std::size_t decode(const std::string &bytes);
-std::string shape(const std::string &name, std::size_t value);
+std::string sizeLabel(const std::string &name, std::size_t value);
 
 } // namespace Slopes
