--- a/tools/virtualfleet/eventqueue.cpp
+++ b/tools/virtualfleet/eventqueue.cpp
@@ -5,14 +5,14 @@
 
 namespace VirtualFleet {
 
-bool EventQueue::Later::operator()(const Entry &a, const Entry &b) const
+bool EventQueue::Later::operator()(const Event &a, const Event &b) const
 {
-    return a.time != b.time ? a.time > b.time : a.serial > b.serial;
+    return a.time != b.time ? a.time > b.time : a.sequence > b.sequence;
 }
 
 void EventQueue::at(Base::TimePoint time, std::function<void()> action)
 {
-    m_entries.push({std::max(time, m_now), ++m_serial, std::move(action)});
+    m_events.push({std::max(time, m_now), ++m_lastSequence, std::move(action)});
 }
 
 void EventQueue::after(Base::Duration delay, std::function<void()> action)
@@ -22,11 +22,11 @@
 
 void EventQueue::runUntil(Base::TimePoint end)
 {
-    while (!m_entries.empty() && m_entries.top().time <= end) {
-        const Entry entry = m_entries.top();
-        m_entries.pop();
-        m_now = entry.time;
-        entry.action();
+    while (!m_events.empty() && m_events.top().time <= end) {
+        const Event event = m_events.top();
+        m_events.pop();
+        m_now = event.time;
+        event.action();
     }
     m_now = end;
 }
--- a/tools/virtualfleet/eventqueue.h
+++ b/tools/virtualfleet/eventqueue.h
@@ -9,30 +9,34 @@
 
 namespace VirtualFleet {
 
-/// Virtual time: what is due runs in the order of time, then of entry.
+/// A virtual clock with its queue of events. Events run in the order of their times, and events of
+/// the same time in the order in which they were added.
 class EventQueue
 {
 public:
     Base::TimePoint now() const { return m_now; }
+    /// Runs \a action at \a time, or at now() if \a time has passed.
     void at(Base::TimePoint time, std::function<void()> action);
     void after(Base::Duration delay, std::function<void()> action);
+    /// Runs every event up to and including \a end and sets the clock to \a end.
     void runUntil(Base::TimePoint end);
 
 private:
-    struct Entry
+    struct Event
     {
         Base::TimePoint time;
-        std::uint64_t serial = 0;
+        std::uint64_t sequence = 0;
         std::function<void()> action;
     };
+    /// Orders the heap so that the earliest event is on top.
     struct Later
     {
-        bool operator()(const Entry &a, const Entry &b) const;
+        bool operator()(const Event &a, const Event &b) const;
     };
 
-    std::priority_queue<Entry, std::vector<Entry>, Later> m_entries;
+    std::priority_queue<Event, std::vector<Event>, Later> m_events;
     Base::TimePoint m_now{std::chrono::hours(1000)};
-    std::uint64_t m_serial = 0;
+    std::uint64_t m_lastSequence = 0;
 };
 
 } // namespace VirtualFleet
