--- a/tools/virtualfleet/callerlistener.h
+++ b/tools/virtualfleet/callerlistener.h
@@ -4,7 +4,8 @@
 
 namespace VirtualFleet {
 
-/// What becomes of the requests that a workload sends.
+/// Receives what the fleet tells the callers of its requests: start, parts and end of an answer, or
+/// a failure.
 class CallerListener
 {
 public:
