--- a/tools/virtualfleet/fleet.cpp
+++ b/tools/virtualfleet/fleet.cpp
@@ -87,10 +87,10 @@
 void Fleet::setServerDead(const Base::ServerId &id, bool isDead)
 {
     if (!isDead) {
-        m_dead.erase(id);
+        m_deadServers.erase(id);
         return;
     }
-    m_dead.insert(id);
+    m_deadServers.insert(id);
     breakTransfers(id, true);
 }
 
@@ -109,13 +109,13 @@
 
 bool Fleet::drawChance(double share)
 {
-    constexpr std::uint64_t steps = 1000000;
-    return share > 0 && static_cast<double>(m_random.next() % steps) < share * steps;
+    constexpr std::uint64_t resolution = 1000000;
+    return share > 0 && static_cast<double>(m_random.next() % resolution) < share * resolution;
 }
 
 void Fleet::markLeaving(const std::string &host)
 {
-    m_leaving.insert(host);
+    m_leavingHosts.insert(host);
     ++m_listingVersion;
 }
 
@@ -134,8 +134,8 @@
 {
     std::vector<Storage::TableWrite> writes;
     Settings::ConfigurationVersion version = 0;
-    const auto add = [&](const auto &what) {
-        const Settings::ConfigurationChange change{++version, what};
+    const auto add = [&](const auto &setting) {
+        const Settings::ConfigurationChange change{++version, setting};
         writes.push_back({Settings::changeKey(version), Settings::encodeChange(change), 0});
     };
     for (const Settings::ClassTarget &target : m_shape.targets)
@@ -162,7 +162,7 @@
     Storage::HostListing listing;
     listing.version = m_listingVersion;
     const auto stateOf = [&](const std::string &name) {
-        return m_leaving.count(name) > 0 ? HostState::Leaving : HostState::Live;
+        return m_leavingHosts.count(name) > 0 ? HostState::Leaving : HostState::Live;
     };
     for (std::size_t i = 0; i < m_shape.routers; ++i) {
         const std::string name = routerName(i).value();
@@ -177,9 +177,9 @@
                                  false,
                                  m_incarnations[i]});
     }
-    std::size_t n = 0;
+    std::size_t serverIndex = 0;
     for (const auto &[id, pool] : m_poolOfServer) {
-        const Base::ZoneId zone("z" + std::to_string(n++ % m_shape.zones));
+        const Base::ZoneId zone("z" + std::to_string(serverIndex++ % m_shape.zones));
         listing.hosts.push_back({id.value(),
                                  Storage::HostRole::ModelServer,
                                  stateOf(id.value()),
