--- a/tools/virtualfleet/modelserver.cpp
+++ b/tools/virtualfleet/modelserver.cpp
@@ -14,7 +14,7 @@
 
 ModelServer::Token ModelServer::submit(const Work &work, AnswerSink *sink)
 {
-    const Token token = ++m_last;
+    const Token token = ++m_lastToken;
     Job job;
     job.work = work;
     job.sink = sink;
@@ -67,7 +67,7 @@
     m_isFrozen = isFrozen;
     if (isFrozen)
         return;
-    for (const Token token : std::exchange(m_stalled, {}))
+    for (const Token token : std::exchange(m_stalledTokens, {}))
         stepAfter(token, Base::Duration::zero());
     startWaiting();
 }
@@ -80,7 +80,7 @@
         Job &job = m_jobs.at(token);
         job.isRunning = true;
         ++m_running;
-        m_journal.push_back(job.work.serial);
+        m_startedSerials.push_back(job.work.serial);
         if (m_startListener)
             m_startListener(job.work);
         stepAfter(token, m_shape.timePerPromptToken * job.work.promptTokens);
@@ -103,38 +103,38 @@
     if (it == m_jobs.end())
         return;
     if (m_isFrozen) {
-        m_stalled.push_back(token);
+        m_stalledTokens.push_back(token);
         return;
     }
     Job &job = it->second;
     const bool isFirst = job.parts == 0;
-    // The prompt and the first token come together, then parts of several tokens.
-    const std::uint32_t left = job.work.generatedTokens - job.generated;
+    // The first part holds the prompt's work and one token; each later part holds several tokens.
+    const std::uint32_t remaining = job.work.generatedTokens - job.generated;
     const std::uint32_t tokens =
-        isFirst ? std::min(left, 1U) : std::min(left, m_shape.tokensPerPart);
+        isFirst ? std::min(remaining, 1U) : std::min(remaining, m_shape.tokensPerPart);
     const Base::ServiceUnits units =
         tokens * Node::generatedTokenWeight + (isFirst ? job.work.promptTokens : 0);
     job.generated += tokens;
     const std::uint64_t index = job.parts++;
-    if (m_listener)
-        m_listener(job.work, units);
+    if (m_serviceListener)
+        m_serviceListener(job.work, units);
     AnswerSink *const sink = job.sink;
     if (sink && isFirst)
         sink->started();
     if (sink)
         sink->part(index, payload(job, index), units);
     if (job.generated < job.work.generatedTokens) {
-        const std::uint32_t next =
+        const std::uint32_t nextTokens =
             std::min(job.work.generatedTokens - job.generated, m_shape.tokensPerPart);
-        stepAfter(token, m_shape.timePerToken * next);
+        stepAfter(token, m_shape.timePerToken * nextTokens);
         return;
     }
-    AnswerSink *const last = job.sink;
+    AnswerSink *const finalSink = job.sink;
     const std::uint64_t parts = job.parts;
     m_jobs.erase(it);
     --m_running;
-    if (last)
-        last->finished(parts);
+    if (finalSink)
+        finalSink->finished(parts);
     startWaiting();
 }
 
