--- a/tools/virtualfleet/virtualrouter.cpp
+++ b/tools/virtualfleet/virtualrouter.cpp
@@ -7,7 +7,8 @@
 
 namespace VirtualFleet {
 
-/// One exchange with a model server: events travel back with the network's latency.
+/// One exchange with a model server. It turns the server's answer into events, which reach the node
+/// after the network's latency.
 class VirtualRouter::Transfer final : public AnswerSink
 {
 public:
@@ -19,21 +20,21 @@
 
     void started() override
     {
-        tell(Node::BackendHead{m_attempt, 200, "text/event-stream", std::to_string(m_token)});
+        sendToNode(Node::BackendHead{m_attempt, 200, "text/event-stream", std::to_string(m_token)});
     }
     void part(std::uint64_t index, const std::string &payload, Base::ServiceUnits units) override
     {
-        tell(Node::BackendPart{m_attempt, index, payload, units});
+        sendToNode(Node::BackendPart{m_attempt, index, payload, units});
     }
     void finished(std::uint64_t parts) override
     {
         m_isOver = true;
-        tell(Node::BackendFinished{m_attempt, parts});
+        sendToNode(Node::BackendFinished{m_attempt, parts});
     }
     void failed(Node::SendState sent, int status)
     {
         m_isOver = true;
-        tell(Node::BackendFailed{m_attempt, sent, status, std::nullopt});
+        sendToNode(Node::BackendFailed{m_attempt, sent, status, std::nullopt});
     }
     void setToken(ModelServer::Token token) { m_token = token; }
     ModelServer::Token token() const { return m_token; }
@@ -41,14 +42,14 @@
     bool isOver() const { return m_isOver; }
 
 private:
-    void tell(const Node::Event &event)
+    void sendToNode(const Node::Event &event)
     {
         VirtualRouter *router = m_router;
         const FleetShape &shape = router->m_fleet->shape();
         const auto deliver = [router, event] { router->handle(event); };
-        router->later(shape.latency, deliver);
+        router->runAfter(shape.latency, deliver);
         if (router->m_fleet->drawChance(shape.duplicateShare))
-            router->later(shape.latency + shape.duplicateDelay, deliver);
+            router->runAfter(shape.latency + shape.duplicateDelay, deliver);
     }
 
     VirtualRouter *m_router;
@@ -80,7 +81,7 @@
 VirtualRouter::~VirtualRouter()
 {
     *m_isAlive = false;
-    // The connections of a process that ends are closed, and the engine drops the work.
+    // A process that ends closes its connections, and the engine then cancels their work.
     for (const auto &[attempt, transfer] : m_transfers) {
         ModelServer *server = m_fleet->server(transfer->server());
         if (!transfer->isOver() && server)
@@ -105,7 +106,7 @@
     });
 }
 
-void VirtualRouter::later(Base::Duration delay, std::function<void()> action)
+void VirtualRouter::runAfter(Base::Duration delay, std::function<void()> action)
 {
     m_fleet->queue().after(delay, [alive = m_isAlive, action = std::move(action)] {
         if (*alive)
@@ -116,7 +117,7 @@
 void VirtualRouter::handle(const Node::Event &event)
 {
     if (m_isFrozen) {
-        m_held.push_back(event);
+        m_heldEvents.push_back(event);
         return;
     }
     if (std::holds_alternative<Node::CallerRequest>(event))
@@ -129,7 +130,7 @@
     m_isFrozen = isFrozen;
     if (isFrozen)
         return;
-    for (const Node::Event &event : std::exchange(m_held, {}))
+    for (const Node::Event &event : std::exchange(m_heldEvents, {}))
         handle(event);
 }
 
@@ -195,8 +196,9 @@
     if (fleet->drawChance(fleet->shape().lossShare))
         return;
     if (!target) {
-        // The host is up but the process is not: the connection is refused.
-        later(fleet->shape().latency * 2, [this, to] { handle(Node::PeerUnreachable{to}); });
+        // The host runs but the router's process does not, so the connection is refused. The sender
+        // hears of that after a round trip.
+        runAfter(fleet->shape().latency * 2, [this, to] { handle(Node::PeerUnreachable{to}); });
         return;
     }
     const std::size_t from = m_index;
@@ -222,7 +224,7 @@
         transfer->failed(Node::SendState::NeverSent, 0);
         return;
     }
-    later(m_fleet->shape().latency, [this, transfer, request] {
+    runAfter(m_fleet->shape().latency, [this, transfer, request] {
         ModelServer *server = m_fleet->server(request.server);
         if (!server || m_transfers.count(request.attempt) == 0)
             return;
@@ -267,19 +269,19 @@
     Node::BackendLoad load{id, isReachable, {}};
     if (isReachable)
         load.report = {server->running(), server->queued()};
-    later(m_fleet->shape().loadReportLag, [this, load] { handle(load); });
+    runAfter(m_fleet->shape().loadReportLag, [this, load] { handle(load); });
 }
 
 void VirtualRouter::put(Storage::OperationId operation, const std::string &, const std::string &)
 {
-    later(m_fleet->shape().tableLatency, [this, operation] {
+    runAfter(m_fleet->shape().tableLatency, [this, operation] {
         handle(Storage::ObjectOutcome{operation, Storage::ObjectStatus::NotDone, {}});
     });
 }
 
 void VirtualRouter::get(Storage::OperationId operation, const std::string &)
 {
-    later(m_fleet->shape().tableLatency, [this, operation] {
+    runAfter(m_fleet->shape().tableLatency, [this, operation] {
         handle(Storage::ObjectOutcome{operation, Storage::ObjectStatus::Missing, {}});
     });
 }
--- a/tools/virtualfleet/virtualrouter.h
+++ b/tools/virtualfleet/virtualrouter.h
@@ -19,7 +19,8 @@
 
 class Fleet;
 
-/// One start of one router: a node core with fakes at its interfaces, all in virtual time.
+/// One run of one router's process, from start to kill: a node core with fakes at its interfaces in
+/// virtual time. A restart of the router is a new VirtualRouter.
 class VirtualRouter final : private Node::CallerPort,
                             private Node::PeerTransport,
                             private Node::BackendClient,
@@ -36,16 +37,19 @@
     std::size_t index() const { return m_index; }
     Base::Incarnation incarnation() const { return m_incarnation; }
 
-    /// Hands an event to the node; held back while frozen.
+    /// Passes an event to the node. A frozen router keeps its events until it is thawed.
     void handle(const Node::Event &event);
+    /// Freezes or thaws the router, like a process that gets no processor time.
     void setFrozen(bool isFrozen);
     bool isFrozen() const { return m_isFrozen; }
-    /// Every exchange with \a server is cut in the middle. The server drops the work, or keeps
-    /// the stream for whoever resumes it.
+    /// Breaks the connection of every open exchange with \a server. If \a isWorkLost, the server
+    /// cancels the work; else it keeps the stream so that it can be resumed.
     void breakTransfers(const Base::ServerId &server, bool isWorkLost);
-    /// Starts the node's timer.
+    /// Starts the timer that advances the node.
     void start();
 
+    /// Returns the bytes of this kind that were sent to other routers, as Fleet::messageSize()
+    /// counts them.
     std::uint64_t bytesSent(Coordination::TrafficKind kind) const;
     std::uint64_t bytesSent() const;
     std::uint64_t messagesSent() const { return m_messages; }
@@ -84,18 +88,19 @@
     void submitTo(ModelServer &server, const std::shared_ptr<Transfer> &transfer,
                   const Node::BackendRequest &request);
     void tick();
-    /// Runs \a action after \a delay unless this start of the router has ended by then.
-    void later(Base::Duration delay, std::function<void()> action);
+    /// Runs \a action after \a delay unless this router has been killed by then.
+    void runAfter(Base::Duration delay, std::function<void()> action);
 
     Fleet *m_fleet;
     std::size_t m_index;
     Base::Incarnation m_incarnation;
     Base::SeededRandom m_random;
+    /// Shared with scheduled actions, which may outlive this object; false once it is destroyed.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
     TableLink m_table;
     std::unique_ptr<Node::Node> m_node;
     std::map<Node::AttemptId, std::shared_ptr<Transfer>> m_transfers;
-    std::vector<Node::Event> m_held;
+    std::vector<Node::Event> m_heldEvents;
     std::array<std::uint64_t, Coordination::trafficKindCount> m_bytes{};
     std::uint64_t m_messages = 0;
     std::size_t m_waiting = 0;
