--- a/tools/virtualfleet/virtualtable.cpp
+++ b/tools/virtualfleet/virtualtable.cpp
@@ -17,7 +17,7 @@
     const auto it = m_rows.find(key);
     if (it != m_rows.end())
         outcome.rows.push_back(it->second);
-    return answer(outcome);
+    return applyMode(outcome);
 }
 
 TableOutcome VirtualTable::scan(Storage::OperationId operation, const std::string &prefix,
@@ -32,7 +32,7 @@
             break;
         outcome.rows.push_back(it->second);
     }
-    return answer(outcome);
+    return applyMode(outcome);
 }
 
 TableOutcome VirtualTable::transact(Storage::OperationId operation,
@@ -41,22 +41,22 @@
     if (m_mode == Mode::Down)
         return {operation, TableStatus::NotDone, {}};
     ++m_writes;
-    if (!matches(writes))
-        return answer({operation, TableStatus::Conflict, {}});
+    if (!versionsMatch(writes))
+        return applyMode({operation, TableStatus::Conflict, {}});
     TableOutcome outcome{operation, TableStatus::Done, {}};
     for (const Storage::TableWrite &write : writes) {
         if (!write.value) {
             m_rows.erase(write.key);
             continue;
         }
-        const Storage::TableRow row{write.key, *write.value, ++m_last};
+        const Storage::TableRow row{write.key, *write.value, ++m_lastVersion};
         m_rows[write.key] = row;
         outcome.rows.push_back(row);
     }
-    return answer(outcome);
+    return applyMode(outcome);
 }
 
-bool VirtualTable::matches(const std::vector<Storage::TableWrite> &writes) const
+bool VirtualTable::versionsMatch(const std::vector<Storage::TableWrite> &writes) const
 {
     return std::all_of(writes.begin(), writes.end(), [&](const Storage::TableWrite &write) {
         const auto it = m_rows.find(write.key);
@@ -65,7 +65,7 @@
     });
 }
 
-TableOutcome VirtualTable::answer(TableOutcome outcome) const
+TableOutcome VirtualTable::applyMode(TableOutcome outcome) const
 {
     if (m_mode != Mode::LosesAnswers)
         return outcome;
@@ -85,7 +85,7 @@
 template <typename Call>
 void TableLink::run(Call call)
 {
-    // A call outlives the router that made it: its write takes effect all the same.
+    // A write that was sent takes effect even if the router that sent it is killed meanwhile.
     m_queue->after(m_latency, [queue = m_queue, table = m_table, latency = m_latency,
                                deliver = m_deliver, call] {
         const TableOutcome outcome = call(*table);
--- a/tools/virtualfleet/virtualtable.h
+++ b/tools/virtualfleet/virtualtable.h
@@ -12,14 +12,14 @@
 
 namespace VirtualFleet {
 
-/// The platform's table service as all routers of a virtual fleet reach it.
+/// The platform's table service that all routers of a virtual fleet share.
 class VirtualTable
 {
 public:
     enum class Mode {
         Working,
-        Down,        ///< Refuses: NotDone.
-        LosesAnswers ///< Does the work; the caller learns Unknown.
+        Down,        ///< Refuses every call with NotDone.
+        LosesAnswers ///< Does the work, but the caller gets Unknown.
     };
 
     void setMode(Mode mode) { m_mode = mode; }
@@ -35,17 +35,19 @@
     std::uint64_t writes() const { return m_writes; }
 
 private:
-    bool matches(const std::vector<Storage::TableWrite> &writes) const;
-    Storage::TableOutcome answer(Storage::TableOutcome outcome) const;
+    /// Returns whether every row that \a writes expects has the expected version.
+    bool versionsMatch(const std::vector<Storage::TableWrite> &writes) const;
+    /// Returns the outcome that the caller gets in the current mode.
+    Storage::TableOutcome applyMode(Storage::TableOutcome outcome) const;
 
     std::map<std::string, Storage::TableRow> m_rows;
-    Storage::RowVersion m_last = 0;
+    Storage::RowVersion m_lastVersion = 0;
     std::uint64_t m_reads = 0;
     std::uint64_t m_writes = 0;
     Mode m_mode = Mode::Working;
 };
 
-/// One router's way to the table.
+/// One router's connection to the table. A call and its outcome each take the latency.
 class TableLink final : public Storage::TableService
 {
 public:
