--- a/tools/measure/submitter.h
+++ b/tools/measure/submitter.h
@@ -6,11 +6,12 @@
 
 namespace Measure {
 
-/// A fleet as callers see it: the product's, or a baseline.
+/// The routers as callers see them: a fleet of lagoonmast's nodes, or a baseline.
 class Submitter
 {
 public:
     virtual ~Submitter() = default;
+    /// Sends \a request to the router with the index \a router.
     virtual void submit(std::size_t router, const Node::CallerRequest &request) = 0;
 };
 
