--- a/tools/measure/baseline.cpp
+++ b/tools/measure/baseline.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-constexpr Base::Duration loadInterval = std::chrono::milliseconds(500);
+constexpr Base::Duration loadReportInterval = std::chrono::milliseconds(500);
 
 } // namespace
 
-/// One request at one server; what the server says reaches the caller after the latency.
+/// One request at one server. The parts and the end of the answer reach the caller after the
+/// latency.
 class Baseline::Exchange final : public VirtualFleet::AnswerSink
 {
 public:
@@ -31,7 +32,7 @@
     void part(std::uint64_t, const std::string &payload, Base::ServiceUnits units) override
     {
         m_owner->m_queue->after(m_owner->m_latency, [this, payload, units] {
-            m_pool->service[m_customer] += units;
+            m_pool->received[m_customer] += units;
             m_owner->m_listener->part(m_caller, payload);
         });
     }
@@ -39,7 +40,7 @@
     {
         m_owner->m_queue->after(m_owner->m_latency, [this] {
             m_owner->m_listener->finished(m_caller);
-            m_owner->ended(this);
+            m_owner->release(this);
         });
     }
     std::size_t router() const { return m_router; }
@@ -64,15 +65,16 @@
     , m_loadReportLag(loadReportLag)
     , m_routers(routers)
 {
-    for (std::size_t r = 0; r < routers; ++r) {
-        for (const auto &[name, list] : servers) {
-            Pool &pool = m_routers[r][name];
-            pool.next = r;
-            for (std::size_t i = 0; i < list.size(); ++i) {
-                const std::size_t slots = list[i]->slots();
-                // Slots that do not divide evenly go to other routers at each server.
-                const std::size_t extra = (r + i) % routers < slots % routers ? 1 : 0;
-                pool.views.push_back({list[i], 0, 0, 0, slots / routers + extra});
+    for (std::size_t router = 0; router < routers; ++router) {
+        for (const auto &[name, poolServers] : servers) {
+            Pool &pool = m_routers[router][name];
+            pool.nextServer = router;
+            for (std::size_t i = 0; i < poolServers.size(); ++i) {
+                const std::size_t slots = poolServers[i]->slots();
+                // The slots that remain after an even division go to different routers at each
+                // server, so that no router gets the extra slot of all servers.
+                const std::size_t extra = (router + i) % routers < slots % routers ? 1 : 0;
+                pool.views.push_back({poolServers[i], 0, 0, 0, slots / routers + extra});
             }
         }
     }
@@ -85,17 +87,17 @@
 {
     for (auto &router : m_routers) {
         for (auto &[name, pool] : router) {
-            for (View &view : pool.views) {
+            for (ServerView &view : pool.views) {
                 const std::size_t load = view.server->running() + view.server->queued();
-                View *target = &view;
+                ServerView *target = &view;
                 m_queue->after(m_loadReportLag, [target, load] {
-                    target->reported = load;
-                    target->sinceReport = 0;
+                    target->reportedLoad = load;
+                    target->sentSinceReport = 0;
                 });
             }
         }
     }
-    m_queue->after(loadInterval, [this] { refreshLoads(); });
+    m_queue->after(loadReportInterval, [this] { refreshLoads(); });
 }
 
 void Baseline::submit(std::size_t router, const Node::CallerRequest &request)
@@ -107,28 +109,29 @@
         dispatchFair(router, pool);
         return;
     }
-    const std::size_t view =
-        m_kind == BaselineKind::RoundRobin ? pool.next++ % pool.views.size() : leastLoaded(pool);
+    const std::size_t view = m_kind == BaselineKind::RoundRobin
+                                 ? pool.nextServer++ % pool.views.size()
+                                 : leastLoaded(pool);
     send(router, pool, view, request);
 }
 
 std::size_t Baseline::leastLoaded(const Pool &pool) const
 {
-    const auto load = [](const View &view) {
-        return static_cast<double>(view.reported + view.sinceReport)
+    const auto load = [](const ServerView &view) {
+        return static_cast<double>(view.reportedLoad + view.sentSinceReport)
                / static_cast<double>(view.server->slots());
     };
-    const auto it =
-        std::min_element(pool.views.begin(), pool.views.end(),
-                         [&](const View &a, const View &b) { return load(a) < load(b); });
+    const auto it = std::min_element(
+        pool.views.begin(), pool.views.end(),
+        [&](const ServerView &a, const ServerView &b) { return load(a) < load(b); });
     return static_cast<std::size_t>(it - pool.views.begin());
 }
 
 void Baseline::send(std::size_t router, Pool &pool, std::size_t view,
                     const Node::CallerRequest &request)
 {
-    ++pool.views[view].own;
-    ++pool.views[view].sinceReport;
+    ++pool.views[view].openRequests;
+    ++pool.views[view].sentSinceReport;
     auto exchange = std::make_unique<Exchange>(*this, router, pool, view, request);
     Exchange *raw = exchange.get();
     m_exchanges[raw] = std::move(exchange);
@@ -140,38 +143,39 @@
 void Baseline::dispatchFair(std::size_t router, Pool &pool)
 {
     while (true) {
-        std::size_t best = pool.views.size();
+        std::size_t leastUsed = pool.views.size();
         for (std::size_t i = 0; i < pool.views.size(); ++i) {
-            const View &view = pool.views[i];
-            if (view.own >= view.share)
+            const ServerView &view = pool.views[i];
+            if (view.openRequests >= view.slotShare)
                 continue;
-            if (best == pool.views.size() || view.own < pool.views[best].own)
-                best = i;
+            if (leastUsed == pool.views.size()
+                || view.openRequests < pool.views[leastUsed].openRequests)
+                leastUsed = i;
         }
-        std::deque<Node::CallerRequest> *next = nullptr;
+        std::deque<Node::CallerRequest> *nextQueue = nullptr;
         Base::ServiceUnits least = 0;
         for (auto &[customer, waiting] : pool.waiting) {
             if (waiting.empty())
                 continue;
-            const Base::ServiceUnits service = pool.service[customer];
-            if (!next || service < least) {
-                next = &waiting;
-                least = service;
+            const Base::ServiceUnits received = pool.received[customer];
+            if (!nextQueue || received < least) {
+                nextQueue = &waiting;
+                least = received;
             }
         }
-        if (best == pool.views.size() || !next)
+        if (leastUsed == pool.views.size() || !nextQueue)
             return;
-        const Node::CallerRequest request = next->front();
-        next->pop_front();
-        send(router, pool, best, request);
+        const Node::CallerRequest request = nextQueue->front();
+        nextQueue->pop_front();
+        send(router, pool, leastUsed, request);
     }
 }
 
-void Baseline::ended(Exchange *exchange)
+void Baseline::release(Exchange *exchange)
 {
     const std::size_t router = exchange->router();
     Pool &pool = exchange->pool();
-    --pool.views[exchange->view()].own;
+    --pool.views[exchange->view()].openRequests;
     m_exchanges.erase(exchange);
     if (m_kind == BaselineKind::FairPerRouter)
         dispatchFair(router, pool);
--- a/tools/measure/baseline.h
+++ b/tools/measure/baseline.h
@@ -15,13 +15,19 @@
 
 namespace Measure {
 
+/// How a baseline picks the backend server and the next request.
 enum class BaselineKind {
-    RoundRobin,    ///< Each router sends on at once, to the servers in turn; servers queue.
-    LeastLoaded,   ///< Each router sends on at once, to the server that it sees least loaded.
-    FairPerRouter, ///< Each router holds an equal share of each server and is fair by itself.
+    /// Each router forwards a request at once, to the servers in turn. The servers queue.
+    RoundRobin,
+    /// Each router forwards a request at once, to the server with the lowest load that it knows of.
+    LeastLoaded,
+    /// Each router has an equal share of the slots of each server and queues the rest. It serves
+    /// the
+    /// customer first that received the least service from this router.
+    FairPerRouter,
 };
 
-/// Routers that do not talk to one another, for comparison with the product.
+/// Routers that exchange no messages, for comparison with lagoonmast.
 class Baseline final : public Submitter
 {
 public:
@@ -40,27 +46,36 @@
     {
         Node::CallerRequest request;
     };
-    struct View
+    /// What one router knows of one server.
+    struct ServerView
     {
         VirtualFleet::ModelServer *server = nullptr;
-        std::size_t reported = 0;
-        std::size_t own = 0;
-        std::size_t sinceReport = 0;
-        std::size_t share = 0;
+        /// Running and queued requests in the last load report.
+        std::size_t reportedLoad = 0;
+        /// Requests of this router that the server has not finished.
+        std::size_t openRequests = 0;
+        /// Requests that this router sent since the last load report.
+        std::size_t sentSinceReport = 0;
+        /// Slots of the server that this router may use (FairPerRouter).
+        std::size_t slotShare = 0;
     };
+    /// One router's state of one pool.
     struct Pool
     {
-        std::vector<View> views;
-        std::size_t next = 0;
+        std::vector<ServerView> views;
+        /// Counter for RoundRobin; its remainder is the index of the next server.
+        std::size_t nextServer = 0;
         std::map<Base::CustomerId, std::deque<Node::CallerRequest>> waiting;
-        std::map<Base::CustomerId, Base::ServiceUnits> service;
+        std::map<Base::CustomerId, Base::ServiceUnits> received;
     };
 
+    /// Reads the loads of all servers now and at every interval; routers learn them after the lag.
     void refreshLoads();
     void send(std::size_t router, Pool &pool, std::size_t view, const Node::CallerRequest &request);
+    /// Sends waiting requests while any server has a free slot of this router's share.
     void dispatchFair(std::size_t router, Pool &pool);
     std::size_t leastLoaded(const Pool &pool) const;
-    void ended(Exchange *exchange);
+    void release(Exchange *exchange);
 
     BaselineKind m_kind;
     VirtualFleet::EventQueue *m_queue;
