--- a/tools/measure/meter.cpp
+++ b/tools/measure/meter.cpp
@@ -62,14 +62,15 @@
             const double lead =
                 static_cast<double>(m_service[a]) - static_cast<double>(m_service[b]);
             if (waiting[a] == 0 || waiting[b] == 0) {
-                pair.isOpen = false;
+                pair.areBacklogged = false;
                 continue;
             }
-            if (!pair.isOpen)
+            if (!pair.areBacklogged)
                 pair = {true, lead, lead};
-            pair.low = std::min(pair.low, lead);
-            pair.high = std::max(pair.high, lead);
-            m_gaps.push_back(static_cast<float>(std::max(lead - pair.low, pair.high - lead)));
+            pair.smallestLead = std::min(pair.smallestLead, lead);
+            pair.largestLead = std::max(pair.largestLead, lead);
+            m_gaps.push_back(
+                static_cast<float>(std::max(lead - pair.smallestLead, pair.largestLead - lead)));
         }
     }
 }
--- a/tools/measure/meter.h
+++ b/tools/measure/meter.h
@@ -11,37 +11,45 @@
 
 namespace Measure {
 
+/// Fairness gap over all samples, in weighed tokens.
 struct GapFigures
 {
     double largest = 0;
     double percentile99 = 0;
 };
 
-/// Samples service, backlog and use of the servers at a fixed interval.
+/// Samples the service of the customers, their backlog and the use of the servers every 20 ms.
 class Meter
 {
 public:
     Meter(VirtualFleet::EventQueue &queue, const Workload &workload,
           std::vector<const VirtualFleet::ModelServer *> servers);
 
+    /// Adds \a units to the service that the customer of \a work received.
     void served(const VirtualFleet::Work &work, Base::ServiceUnits units);
+    /// Takes the first sample and schedules the next ones.
     void start();
 
-    /// Between any two customers that stayed backlogged, in weighed tokens.
+    /// Returns the difference of the service that any two customers received while both stayed
+    /// backlogged, in weighed tokens.
     GapFigures gap() const;
-    /// Busy share of all slots over the samples in which any work waited.
+    /// Returns the share of slots in use, over the samples in which any request waited; 1 if none
+    /// waited.
     double utilisationWhileWaiting() const;
+    /// Returns the share of slots in use over all samples.
     double meanUtilisation() const;
-    /// Share of samples in which work waited.
+    /// Returns the share of samples in which any request waited.
     double waitingShare() const;
+    /// Returns the service that each customer received, in weighed tokens.
     const std::vector<Base::ServiceUnits> &service() const { return m_service; }
 
 private:
+    /// Two customers, and the range of the first one's lead in service since both are backlogged.
     struct Pair
     {
-        bool isOpen = false;
-        double low = 0;
-        double high = 0;
+        bool areBacklogged = false;
+        double smallestLead = 0;
+        double largestLead = 0;
     };
 
     void sample();
