--- a/tools/measure/scenario.cpp
+++ b/tools/measure/scenario.cpp
@@ -8,15 +8,17 @@
 
 using Base::Milliseconds;
 
-/// Requests a second for each slot of a customer's fair share: about a fifth of what the share
-/// could run with the mix of both users.
-constexpr double lightRateForShare = 0.05;
+/// Requests a second of a light customer for each slot of its fair share. With either mix of work
+/// kinds below, that is about a fifth of what the share could serve.
+constexpr double lightRequestsPerSecondPerSlot = 0.05;
 
 const std::string modelName = "writer";
 
-/// How the callers of the customers are spread over the routers.
-enum class Spread {
-    CrowdedAndQuiet, ///< A few large customers sit on two routers, the small ones on others.
+/// How the callers of the customers are distributed over the routers.
+enum class CallerDistribution {
+    /// Each large customer uses one router of the first quarter, each small one two of the others.
+    Skewed,
+    /// Every customer uses all routers.
     Even,
 };
 
@@ -34,27 +36,27 @@
             {Base::ClassId("grants"), Milliseconds(5000), 4000, 800, 0.2}};
 }
 
-std::vector<std::size_t> routersOf(std::size_t customer, std::size_t large, std::size_t routers,
-                                   Spread spread)
+std::vector<std::size_t> routersOf(std::size_t customer, std::size_t largeCustomers,
+                                   std::size_t routers, CallerDistribution distribution)
 {
-    std::vector<std::size_t> chosen;
-    if (spread == Spread::Even) {
+    std::vector<std::size_t> indices;
+    if (distribution == CallerDistribution::Even) {
         for (std::size_t i = 0; i < routers; ++i)
-            chosen.push_back(i);
-        return chosen;
+            indices.push_back(i);
+        return indices;
     }
-    const std::size_t crowded = std::max<std::size_t>(routers / 4, 1);
-    if (customer < large)
-        return {customer % crowded};
-    const std::size_t quiet = routers - crowded;
-    chosen.push_back(crowded + customer % quiet);
-    chosen.push_back(crowded + (customer + 1) % quiet);
-    return chosen;
+    const std::size_t busyRouters = std::max<std::size_t>(routers / 4, 1);
+    if (customer < largeCustomers)
+        return {customer % busyRouters};
+    const std::size_t otherRouters = routers - busyRouters;
+    indices.push_back(busyRouters + customer % otherRouters);
+    indices.push_back(busyRouters + (customer + 1) % otherRouters);
+    return indices;
 }
 
 Scenario build(const std::string &name, std::size_t routers, std::size_t zones, std::size_t servers,
-               std::size_t customers, const std::vector<WorkKind> &kinds, Spread spread,
-               std::uint64_t seed)
+               std::size_t customers, const std::vector<WorkKind> &kinds,
+               CallerDistribution distribution, std::uint64_t seed)
 {
     constexpr std::size_t slots = 8;
     Scenario scenario;
@@ -69,22 +71,24 @@
         scenario.fleet.targets.push_back({kind.workClass, kind.startWithin, std::nullopt});
     scenario.workload.kinds = kinds;
     scenario.workload.seed = seed;
-    const std::size_t large = std::max<std::size_t>(customers / 5, 1);
-    const std::size_t allSlots = servers * slots;
+    const std::size_t largeCustomers = std::max<std::size_t>(customers / 5, 1);
+    const std::size_t totalSlots = servers * slots;
     for (std::size_t i = 0; i < customers; ++i) {
         CustomerShape customer;
         customer.customer = Base::CustomerId("customer" + std::to_string(i));
-        customer.routers = routersOf(i, large, routers, spread);
+        customer.routers = routersOf(i, largeCustomers, routers, distribution);
         customer.targets = {modelName};
-        // A large customer alone could fill the pool; a small one keeps twice its fair share
-        // of the slots asked for, so that it too stays backlogged.
-        const std::size_t share = std::max<std::size_t>(allSlots / customers, 1);
-        // The last quarter asks for far less than its share: for it the targets are meant.
+        // A large customer keeps enough requests open to fill the pool alone. A small one keeps
+        // twice its fair share of the slots and four more, so that it stays backlogged too.
+        const std::size_t fairSlots = std::max<std::size_t>(totalSlots / customers, 1);
+        // The last quarter of the customers asks for far less than its fair share. The start
+        // targets are promised to such customers.
         const bool isLight = i >= customers - customers / 4;
-        customer.openRequests = i < large ? allSlots : 2 * share + 4;
+        customer.openRequests = i < largeCustomers ? totalSlots : 2 * fairSlots + 4;
         if (isLight) {
             customer.openRequests = 0;
-            customer.requestsPerSecond = static_cast<double>(share) * lightRateForShare;
+            customer.requestsPerSecond =
+                static_cast<double>(fairSlots) * lightRequestsPerSecondPerSlot;
         }
         scenario.workload.customers.push_back(customer);
         scenario.fleet.customers.push_back(customer.customer);
@@ -102,13 +106,13 @@
 std::optional<Scenario> scenarioByName(const std::string &name, std::uint64_t seed)
 {
     if (name == "exchange")
-        return build(name, 8, 4, 20, 16, exchangeKinds(), Spread::CrowdedAndQuiet, seed);
+        return build(name, 8, 4, 20, 16, exchangeKinds(), CallerDistribution::Skewed, seed);
     if (name == "convergencia")
-        return build(name, 6, 3, 10, 16, convergenciaKinds(), Spread::CrowdedAndQuiet, seed);
+        return build(name, 6, 3, 10, 16, convergenciaKinds(), CallerDistribution::Skewed, seed);
     if (name == "routers32")
-        return build(name, 32, 4, 80, 32, exchangeKinds(), Spread::CrowdedAndQuiet, seed);
+        return build(name, 32, 4, 80, 32, exchangeKinds(), CallerDistribution::Skewed, seed);
     if (name == "routers128")
-        return build(name, 128, 4, 320, 64, exchangeKinds(), Spread::CrowdedAndQuiet, seed);
+        return build(name, 128, 4, 320, 64, exchangeKinds(), CallerDistribution::Skewed, seed);
     return std::nullopt;
 }
 
--- a/tools/measure/scenario.h
+++ b/tools/measure/scenario.h
@@ -11,7 +11,7 @@
 
 namespace Measure {
 
-/// A deployment and the load on it.
+/// A fleet and the load on it.
 struct Scenario
 {
     std::string name;
@@ -19,8 +19,10 @@
     WorkloadShape workload;
 };
 
-/// Names that scenarioByName() knows.
+/// Returns the names that scenarioByName() knows.
 std::vector<std::string> scenarioNames();
+/// Returns nothing if there is no scenario \a name. \a seed is that of the fleet and of the
+/// workload.
 std::optional<Scenario> scenarioByName(const std::string &name, std::uint64_t seed);
 
 } // namespace Measure
