--- a/tools/measure/workload.cpp
+++ b/tools/measure/workload.cpp
@@ -23,66 +23,66 @@
     for (std::size_t i = 0; i < m_shape.customers.size(); ++i) {
         const CustomerShape &customer = m_shape.customers[i];
         if (customer.requestsPerSecond > 0)
-            m_queue->after(customer.begins, [this, i] { askAtRate(i); });
+            m_queue->after(customer.startDelay, [this, i] { sendAtRate(i); });
         for (std::size_t n = 0; n < customer.openRequests; ++n) {
-            // Spread over a second, so that the loops of different customers do not march
-            // in step.
+            // The starts are spread over one second, so that the customers' loops of sending and
+            // waiting do not run in lockstep.
             const auto offset = std::chrono::microseconds(m_random.next() % 1000000);
-            m_queue->after(customer.begins + offset, [this, i] { ask(i); });
+            m_queue->after(customer.startDelay + offset, [this, i] { sendNewRequest(i); });
         }
     }
 }
 
-void Workload::askAtRate(std::size_t customer)
+void Workload::sendAtRate(std::size_t customer)
 {
-    ask(customer);
+    sendNewRequest(customer);
     const double draw = static_cast<double>(m_random.next() % 1000000 + 1) / 1000001.0;
     const double seconds = -std::log(draw) / m_shape.customers[customer].requestsPerSecond;
     const auto pause =
         std::chrono::duration_cast<Base::Duration>(std::chrono::duration<double>(seconds));
-    m_queue->after(pause, [this, customer] { askAtRate(customer); });
+    m_queue->after(pause, [this, customer] { sendAtRate(customer); });
 }
 
-void Workload::ask(std::size_t customer)
+void Workload::sendNewRequest(std::size_t customer)
 {
     const std::size_t kind = drawKind();
     const WorkKind &workKind = m_shape.kinds[kind];
-    CallerView view;
-    view.customer = customer;
-    view.kind = kind;
-    view.work.customer = m_shape.customers[customer].customer;
-    view.work.promptTokens = drawTokens(workKind.promptTokens);
-    view.work.generatedTokens = drawTokens(workKind.generatedTokens);
-    askAgain(view);
+    TrackedRequest tracked;
+    tracked.customer = customer;
+    tracked.kind = kind;
+    tracked.work.customer = m_shape.customers[customer].customer;
+    tracked.work.promptTokens = drawTokens(workKind.promptTokens);
+    tracked.work.generatedTokens = drawTokens(workKind.generatedTokens);
+    sendTracked(tracked);
 }
 
-void Workload::askAgain(CallerView view)
+void Workload::sendTracked(TrackedRequest tracked)
 {
-    view.work.serial = ++m_last;
-    view.asked = m_queue->now();
-    view.isWaiting = true;
-    view.hasStarted = false;
-    m_views[view.work.serial] = view;
-    ++m_waiting[view.customer];
+    tracked.work.serial = ++m_lastSerial;
+    tracked.sentAt = m_queue->now();
+    tracked.isWaiting = true;
+    tracked.hasStarted = false;
+    m_trackedRequests[tracked.work.serial] = tracked;
+    ++m_waiting[tracked.customer];
     ++m_totalWaiting;
-    send(view);
+    submitToRouter(tracked);
 }
 
-void Workload::send(const CallerView &view)
+void Workload::submitToRouter(const TrackedRequest &tracked)
 {
-    const CustomerShape &shape = m_shape.customers[view.customer];
-    const WorkKind &workKind = m_shape.kinds[view.kind];
+    const CustomerShape &shape = m_shape.customers[tracked.customer];
+    const WorkKind &workKind = m_shape.kinds[tracked.kind];
     Node::CallerRequest request;
-    request.caller = view.work.serial;
+    request.caller = tracked.work.serial;
     request.target = shape.targets[m_random.next() % shape.targets.size()];
-    request.body = VirtualFleet::encodeWork(view.work);
+    request.body = VirtualFleet::encodeWork(tracked.work);
     request.isStreaming = true;
     request.keyDigest = VirtualFleet::keyDigestOf(shape.customer);
     request.workClass = workKind.workClass;
-    request.promptTokens = view.work.promptTokens;
-    // The hint is rough: the mean of the kind, whatever this request will really take.
+    request.promptTokens = tracked.work.promptTokens;
+    // The estimate is rough, as callers give it: the mean of the kind instead of the true count.
     request.maxTokens = workKind.generatedTokens;
-    const std::size_t next = m_nextRouter[view.customer]++;
+    const std::size_t next = m_nextRouter[tracked.customer]++;
     m_submitter->submit(shape.routers[next % shape.routers.size()], request);
 }
 
@@ -99,18 +99,18 @@
 
 std::uint32_t Workload::drawTokens(std::uint32_t mean)
 {
-    // Exponential, cut at four times the mean: many short answers, a few long ones.
+    // The exponential distribution gives many short and a few long texts.
     const double draw = static_cast<double>(m_random.next() % 1000000 + 1) / 1000001.0;
     const double tokens = -std::log(draw) * mean;
     return static_cast<std::uint32_t>(std::clamp(tokens, 1.0, 4.0 * mean));
 }
 
-void Workload::stopWaiting(CallerView &view)
+void Workload::stopWaiting(TrackedRequest &tracked)
 {
-    if (!view.isWaiting)
+    if (!tracked.isWaiting)
         return;
-    view.isWaiting = false;
-    --m_waiting[view.customer];
+    tracked.isWaiting = false;
+    --m_waiting[tracked.customer];
     --m_totalWaiting;
 }
 
@@ -118,53 +118,53 @@
 
 void Workload::part(Node::CallerId caller, const std::string &)
 {
-    const auto it = m_views.find(caller);
-    if (it == m_views.end() || it->second.hasStarted)
+    const auto it = m_trackedRequests.find(caller);
+    if (it == m_trackedRequests.end() || it->second.hasStarted)
         return;
     it->second.hasStarted = true;
-    // The backlogged wait because they ask for more than there is; what a target means is seen
-    // by those that ask for little.
+    // Backlogged customers wait because they ask for more than the pool can serve. Whether start
+    // targets are met shows in the waits of the customers that ask for little.
     if (!m_isMeasuring || m_shape.customers[it->second.customer].requestsPerSecond == 0)
         return;
     const double wait =
-        std::chrono::duration<double, std::milli>(m_queue->now() - it->second.asked).count();
+        std::chrono::duration<double, std::milli>(m_queue->now() - it->second.sentAt).count();
     m_firstParts[it->second.kind].push_back(wait);
 }
 
 void Workload::finished(Node::CallerId caller)
 {
-    const auto it = m_views.find(caller);
-    if (it == m_views.end())
+    const auto it = m_trackedRequests.find(caller);
+    if (it == m_trackedRequests.end())
         return;
     ++m_finished;
     const std::size_t customer = it->second.customer;
     stopWaiting(it->second);
-    m_views.erase(it);
-    // One that asks at a rate does not wait for its answers.
+    m_trackedRequests.erase(it);
+    // A customer that sends at a rate sends its next request at its own time.
     if (m_shape.customers[customer].requestsPerSecond == 0)
-        m_queue->after(Base::Duration::zero(), [this, customer] { ask(customer); });
+        m_queue->after(Base::Duration::zero(), [this, customer] { sendNewRequest(customer); });
 }
 
 void Workload::failed(Node::CallerId caller, const Node::Failure &failure)
 {
-    const auto it = m_views.find(caller);
-    if (it == m_views.end())
+    const auto it = m_trackedRequests.find(caller);
+    if (it == m_trackedRequests.end())
         return;
     if (failure.type == Node::FailureType::BackendFailed)
         ++m_failed;
     else
         ++m_refused;
     stopWaiting(it->second);
-    const CallerView view = it->second;
-    m_views.erase(it);
-    const Base::Duration back = failure.retryAfter.value_or(Base::Milliseconds(1000));
-    m_queue->after(back, [this, view] { askAgain(view); });
+    const TrackedRequest tracked = it->second;
+    m_trackedRequests.erase(it);
+    const Base::Duration retryDelay = failure.retryAfter.value_or(Base::Milliseconds(1000));
+    m_queue->after(retryDelay, [this, tracked] { sendTracked(tracked); });
 }
 
 void Workload::begunAtServer(Node::CallerId caller)
 {
-    const auto it = m_views.find(caller);
-    if (it != m_views.end())
+    const auto it = m_trackedRequests.find(caller);
+    if (it != m_trackedRequests.end())
         stopWaiting(it->second);
 }
 
--- a/tools/measure/workload.h
+++ b/tools/measure/workload.h
@@ -15,32 +15,37 @@
 
 namespace Measure {
 
-/// One kind of work: what its requests cost and what is asked of it.
+/// One kind of work: the cost and the start target of its requests.
 struct WorkKind
 {
     Base::ClassId workClass;
     Base::Milliseconds startWithin{1000};
+    /// Mean tokens of the prompt.
     std::uint32_t promptTokens = 500;
+    /// Mean tokens of the answer.
     std::uint32_t generatedTokens = 100;
-    /// Share of a customer's requests.
+    /// Share (0 to 1) of a customer's requests that are of this kind.
     double share = 1;
 };
 
+/// Load of one customer.
 struct CustomerShape
 {
     Base::CustomerId customer;
-    /// Requests that the customer keeps open; it asks anew as soon as one ends.
+    /// Requests that the customer keeps open: it sends a new one as soon as one ends.
     std::size_t openRequests = 0;
-    /// Instead: asks at random times, so many a second in the mean, whatever is open.
+    /// If above 0, the customer also sends requests at random times (a Poisson process) with this
+    /// mean rate, and sends none in place of one that ends. Set openRequests to 0 with it.
     double requestsPerSecond = 0;
-    /// Routers that its callers are connected to.
+    /// Routers that the customer's callers are connected to; requests go to them in turn.
     std::vector<std::size_t> routers;
-    /// Pools by target name; chosen evenly.
+    /// Names of the models that the requests ask for, each with the same probability.
     std::vector<std::string> targets;
-    /// When it begins; a burst begins late.
-    Base::Duration begins{0};
+    /// Time from the start of the workload to the customer's first request.
+    Base::Duration startDelay{0};
 };
 
+/// The load of all customers.
 struct WorkloadShape
 {
     std::vector<WorkKind> kinds;
@@ -48,32 +53,37 @@
     std::uint64_t seed = 1;
 };
 
-/// A request as its caller sees it.
-struct CallerView
+/// State of one request at its caller.
+struct TrackedRequest
 {
     std::size_t customer = 0;
     std::size_t kind = 0;
     VirtualFleet::Work work;
-    Base::TimePoint asked;
+    Base::TimePoint sentAt;
     bool isWaiting = true;
     bool hasStarted = false;
 };
 
-/// Callers: backlogged customers keep a number of requests open, light ones ask at a rate. A
-/// refused request comes back when the refusal says so.
+/// The callers of all customers. Backlogged customers keep a number of requests open; light ones
+/// send at a rate. A request that was refused or failed is sent again after the time that the
+/// failure names, or else after 1 s.
 class Workload final : public VirtualFleet::CallerListener
 {
 public:
     Workload(const WorkloadShape &shape, VirtualFleet::EventQueue &queue, Submitter &submitter);
 
+    /// Schedules the first requests of all customers.
     void start();
 
-    /// Requests of each customer that wait and that no server has begun.
+    /// Returns for each customer the number of open requests that no backend server has started.
     const std::vector<std::size_t> &waiting() const { return m_waiting; }
+    /// Returns the sum of waiting().
     std::size_t totalWaiting() const { return m_totalWaiting; }
     std::size_t customers() const { return m_shape.customers.size(); }
     const WorkloadShape &shape() const { return m_shape; }
-    /// First-part times by kind, in milliseconds, of the customers that ask at a rate.
+    /// Returns by kind of work the times from sending a request to the first part of its answer, in
+    /// milliseconds. Only requests of customers that send at a rate count, and only those whose
+    /// first part came after startMeasuring().
     const std::vector<std::vector<double>> &firstParts() const { return m_firstParts; }
     void startMeasuring() { m_isMeasuring = true; }
     std::uint64_t finishedRequests() const { return m_finished; }
@@ -84,29 +94,32 @@
     void part(Node::CallerId caller, const std::string &payload) override;
     void finished(Node::CallerId caller) override;
     void failed(Node::CallerId caller, const Node::Failure &failure) override;
-    /// A backend server began the request.
+    /// Records that a backend server started the request.
     void begunAtServer(Node::CallerId caller);
 
 private:
-    void ask(std::size_t customer);
-    void askAtRate(std::size_t customer);
-    /// A caller that was refused comes back with the same work.
-    void askAgain(CallerView view);
-    void send(const CallerView &view);
+    /// Sends a request of a random kind and size.
+    void sendNewRequest(std::size_t customer);
+    /// Sends a request and schedules the next one.
+    void sendAtRate(std::size_t customer);
+    /// Sends a request under a new serial and tracks it. A refused one keeps its work.
+    void sendTracked(TrackedRequest tracked);
+    void submitToRouter(const TrackedRequest &tracked);
     std::size_t drawKind();
+    /// Draws from an exponential distribution, clamped to 1 and four times \a mean.
     std::uint32_t drawTokens(std::uint32_t mean);
-    void stopWaiting(CallerView &view);
+    void stopWaiting(TrackedRequest &tracked);
 
     WorkloadShape m_shape;
     VirtualFleet::EventQueue *m_queue;
     Submitter *m_submitter;
     Base::SeededRandom m_random;
-    std::map<Node::CallerId, CallerView> m_views;
+    std::map<Node::CallerId, TrackedRequest> m_trackedRequests;
     std::vector<std::size_t> m_waiting;
     std::vector<std::size_t> m_nextRouter;
     std::vector<std::vector<double>> m_firstParts;
     std::size_t m_totalWaiting = 0;
-    std::uint64_t m_last = 0;
+    std::uint64_t m_lastSerial = 0;
     std::uint64_t m_finished = 0;
     std::uint64_t m_refused = 0;
     std::uint64_t m_failed = 0;
