--- a/tools/measure/main.cpp
+++ b/tools/measure/main.cpp
@@ -28,22 +28,26 @@
     bool isCsv = false;
 };
 
+/// The measurements of one policy, one line of the output.
 struct Row
 {
     std::string policy;
     GapFigures gap;
     double utilisation = 0;
     double waitingShare = 0;
+    /// 95th percentile of the time to the first part by kind of work, in milliseconds.
     std::vector<double> firstPart95;
+    /// Bytes that one router sends to others in a second.
     double bytesPerSecond = 0;
     std::uint64_t finished = 0;
     std::uint64_t refused = 0;
     std::uint64_t failed = 0;
 };
 
+/// Virtual time under load before the measurement begins.
 constexpr std::chrono::seconds warmUp{20};
 
-/// The product's fleet behind the callers.
+/// Passes requests to the fleet of lagoonmast's nodes.
 class FleetSubmitter final : public Submitter
 {
 public:
@@ -63,9 +67,9 @@
 {
     if (values.empty())
         return 0;
-    const auto at = values.begin() + static_cast<std::ptrdiff_t>((values.size() - 1) * 95 / 100);
-    std::nth_element(values.begin(), at, values.end());
-    return *at;
+    const auto nth = values.begin() + static_cast<std::ptrdiff_t>((values.size() - 1) * 95 / 100);
+    std::nth_element(values.begin(), nth, values.end());
+    return *nth;
 }
 
 Row rowOf(const std::string &policy, const Meter &meter, const Workload &workload)
@@ -83,7 +87,7 @@
     return row;
 }
 
-void listen(VirtualFleet::ModelServer &server, Meter &meter, Workload &workload)
+void connectListeners(VirtualFleet::ModelServer &server, Meter &meter, Workload &workload)
 {
     server.onService([&meter](const VirtualFleet::Work &work, Base::ServiceUnits units) {
         meter.served(work, units);
@@ -92,7 +96,7 @@
         [&workload](const VirtualFleet::Work &work) { workload.begunAtServer(work.serial); });
 }
 
-/// Bytes that a message adds to the batches between routers.
+/// Returns the bytes that \a message adds to a batch between two routers.
 std::size_t wireSize(const Node::PeerMessage &message)
 {
     lagoonmast::wire::Batch batch;
@@ -113,7 +117,7 @@
         servers.push_back(server.get());
     Meter meter(fleet.queue(), workload, servers);
     for (const auto &[id, server] : fleet.servers())
-        listen(*server, meter, workload);
+        connectListeners(*server, meter, workload);
     workload.start();
     fleet.runFor(warmUp);
     workload.startMeasuring();
@@ -126,14 +130,16 @@
     for (std::size_t i = 0; i < fleet.routers(); ++i)
         after += fleet.router(i)->bytesSent();
     Row row = rowOf("lagoonmast", meter, workload);
-    // The fleet outlives the workload, and its end still stops work at the servers.
+    // The fleet is destroyed after the workload and the meter. Its destruction cancels work at the
+    // servers, which must not call the listeners then.
     for (const auto &[id, server] : fleet.servers()) {
         server->onService({});
         server->onStart({});
     }
     row.bytesPerSecond = static_cast<double>(after - before)
                          / static_cast<double>(length.count() * static_cast<long>(fleet.routers()));
-    // The fleet ends after the workload, and its engines then start what waited for them.
+    // When work is cancelled, the engines start the requests that waited for its slots; these
+    // starts too must not reach the destroyed workload.
     for (const auto &[id, server] : fleet.servers()) {
         server->onStart([](const VirtualFleet::Work &) {});
         server->onService([](const VirtualFleet::Work &, Base::ServiceUnits) {});
@@ -145,15 +151,16 @@
                 std::chrono::seconds length)
 {
     VirtualFleet::EventQueue queue;
-    std::vector<std::unique_ptr<VirtualFleet::ModelServer>> owned;
+    std::vector<std::unique_ptr<VirtualFleet::ModelServer>> ownedServers;
     std::vector<const VirtualFleet::ModelServer *> servers;
     Baseline::ServersByPool byPool;
     for (const VirtualFleet::ServerGroup &group : scenario.fleet.groups) {
         const std::string target = group.pool.value().substr(std::string("model/").size());
         for (std::size_t i = 0; i < group.servers; ++i) {
-            owned.push_back(std::make_unique<VirtualFleet::ModelServer>(queue, group.engine));
-            servers.push_back(owned.back().get());
-            byPool[target].push_back(owned.back().get());
+            ownedServers.push_back(
+                std::make_unique<VirtualFleet::ModelServer>(queue, group.engine));
+            servers.push_back(ownedServers.back().get());
+            byPool[target].push_back(ownedServers.back().get());
         }
     }
     Baseline baseline(kind, queue, scenario.fleet.routers, byPool, scenario.fleet.latency,
@@ -161,8 +168,8 @@
     Workload workload(scenario.workload, queue, baseline);
     baseline.setListener(&workload);
     Meter meter(queue, workload, servers);
-    for (const auto &server : owned)
-        listen(*server, meter, workload);
+    for (const auto &server : ownedServers)
+        connectListeners(*server, meter, workload);
     workload.start();
     queue.runUntil(queue.now() + warmUp);
     workload.startMeasuring();
@@ -223,12 +230,12 @@
 int main(int argc, char **argv)
 {
     Options options;
-    const option known[] = {{"scenario", required_argument, nullptr, 's'},
-                            {"seed", required_argument, nullptr, 'r'},
-                            {"seconds", required_argument, nullptr, 'n'},
-                            {"csv", no_argument, nullptr, 'c'},
-                            {nullptr, 0, nullptr, 0}};
-    for (int ch = 0; (ch = getopt_long(argc, argv, "", known, nullptr)) != -1;) {
+    const option knownOptions[] = {{"scenario", required_argument, nullptr, 's'},
+                                   {"seed", required_argument, nullptr, 'r'},
+                                   {"seconds", required_argument, nullptr, 'n'},
+                                   {"csv", no_argument, nullptr, 'c'},
+                                   {nullptr, 0, nullptr, 0}};
+    for (int ch = 0; (ch = getopt_long(argc, argv, "", knownOptions, nullptr)) != -1;) {
         if (ch == 's')
             options.scenario = optarg;
         else if (ch == 'r')
