--- a/tools/schedulingmodels/fakes.h
+++ b/tools/schedulingmodels/fakes.h
@@ -8,7 +8,9 @@
 
 namespace SchedulingModels {
 
-/// Counts service as the coordination library does, without other routers.
+/// A view of service that a test or model sets itself. A customer's position is the service that it
+/// received plus what is held for its running work, as in the coordination library, but without
+/// other routers.
 class FakeService final : public Scheduling::ServiceView
 {
 public:
@@ -24,6 +26,7 @@
     std::map<Base::CustomerId, Base::ServiceUnits> held;
 };
 
+/// A set of classes that are over their claim, that is, over the capacity set aside for them.
 class FakeClaims final : public Scheduling::ClassClaims
 {
 public:
@@ -35,6 +38,7 @@
     std::set<Base::ClassId> over;
 };
 
+/// Returns the time \a milliseconds after the clock's epoch.
 inline Base::TimePoint at(std::int64_t milliseconds)
 {
     return Base::TimePoint(Base::Milliseconds(milliseconds));
@@ -45,6 +49,7 @@
     return Base::CustomerId("customer-" + std::to_string(n));
 }
 
+/// Returns waiting work whose start target ends at \a startBy, in milliseconds.
 inline Scheduling::WaitingWork workOf(std::uint64_t serial, const Base::CustomerId &customer,
                                       std::int64_t startBy, const char *workClass = "normal")
 {
