--- a/tools/schedulingmodels/failingpool.h
+++ b/tools/schedulingmodels/failingpool.h
@@ -9,10 +9,12 @@
 
 using namespace Scheduling;
 
-/// Attempts for each request when every attempt fails, in the second hundred of requests.
-inline double attemptsPerRequest(double share)
+/// Returns the mean number of attempts for each request when every attempt fails. \a retryShare is
+/// that of the retry budget. The first 100 of 1100 requests are not counted, since the budget's
+/// initial allowance is spent on them.
+inline double attemptsPerRequest(double retryShare)
 {
-    RetryBudget budget = *RetryBudget::create({share, 10});
+    RetryBudget budget = *RetryBudget::create({retryShare, 10});
     const RetryPolicy policy = *RetryPolicy::create({});
     Base::SeededRandom random(20261);
     std::size_t attempts = 0;
