--- a/tools/schedulingmodels/admittedpool.h
+++ b/tools/schedulingmodels/admittedpool.h
@@ -15,15 +15,18 @@
 using Base::Milliseconds;
 using namespace Scheduling;
 
+/// What a run measured of one customer.
 struct CustomerSeen
 {
     std::size_t started = 0;
+    /// Requests that started after their start target.
     std::size_t late = 0;
     std::size_t refused = 0;
     Milliseconds longestWait{0};
 };
 
-/// Slots that serve every work in 100 ms, before them a queue with admission, in steps of 1 ms.
+/// A pool of slots behind a fair queue with admission, in steps of 1 ms. Every request takes a slot
+/// for 100 ms and has a start target of 500 ms.
 class AdmittedPool
 {
 public:
@@ -33,23 +36,26 @@
         , m_admission(*AdmissionPolicy::create(limits(targetFactor)))
     {}
 
-    /// Customer 0 asks \a flood times as often as the others, each \a every ms.
-    void run(std::size_t customers, std::int64_t every, std::size_t flood, std::int64_t until)
+    /// Runs until the time \a endTime (ms). Every \a interval ms each customer sends one request,
+    /// but customer 0 sends \a burstSize at once.
+    void run(std::size_t customers, std::int64_t interval, std::size_t burstSize,
+             std::int64_t endTime)
     {
-        for (; m_now < until; ++m_now) {
-            while (!m_ends.empty() && m_ends.top() <= m_now) {
-                m_ends.pop();
+        for (; m_now < endTime; ++m_now) {
+            while (!m_endTimes.empty() && m_endTimes.top() <= m_now) {
+                m_endTimes.pop();
                 m_drain.recordUse(Milliseconds(100));
             }
-            for (std::size_t i = 0; m_now % every == 0 && i < customers; ++i) {
-                for (std::size_t n = 0; n < (i == 0 ? flood : 1); ++n)
-                    ask(customerNamed(i));
+            for (std::size_t i = 0; m_now % interval == 0 && i < customers; ++i) {
+                for (std::size_t request = 0; request < (i == 0 ? burstSize : 1); ++request)
+                    submit(customerNamed(i));
             }
-            idle += m_queue.size() > 0 && m_ends.size() < m_slots ? 1 : 0;
+            idle += m_queue.size() > 0 && m_endTimes.size() < m_slots ? 1 : 0;
         }
     }
 
     std::map<Base::CustomerId, CustomerSeen> seen;
+    /// Steps in which a slot was free although work waited.
     std::size_t idle = 0;
 
 private:
@@ -60,7 +66,8 @@
         return limits;
     }
 
-    void ask(const Base::CustomerId &customer)
+    /// Admits a request to the queue or counts it as refused.
+    void submit(const Base::CustomerId &customer)
     {
         WaitingWork work = workOf(++m_serial, customer, m_now + 500);
         work.arrivedAt = at(m_now);
@@ -69,7 +76,7 @@
         pool.waitingOfCustomer = m_queue.waitingCount(customer);
         pool.backloggedCustomers = m_queue.backloggedCount() + (pool.waitingOfCustomer == 0);
         pool.usableServers = 1;
-        pool.freePermits = m_slots - m_ends.size();
+        pool.freePermits = m_slots - m_endTimes.size();
         pool.drainRate = m_drain.rate(m_slots);
         if (m_admission.refusalFor(work, pool, at(m_now), m_random)) {
             ++seen[customer].refused;
@@ -79,12 +86,12 @@
             m_service.received[customer] =
                 std::max(m_service.received[customer], m_service.position(*least));
         m_queue.push(work);
-        start();
+        startWaiting();
     }
 
-    void start()
+    void startWaiting()
     {
-        while (!m_queue.isEmpty() && m_ends.size() < m_slots) {
+        while (!m_queue.isEmpty() && m_endTimes.size() < m_slots) {
             const WaitingWork work = *m_queue.takeNext(m_service, FakeClaims(), at(m_now));
             CustomerSeen &customer = seen[work.customer];
             ++customer.started;
@@ -92,7 +99,7 @@
             const auto wait = std::chrono::duration_cast<Milliseconds>(at(m_now) - work.arrivedAt);
             customer.longestWait = std::max(customer.longestWait, wait);
             ++m_service.received[work.customer];
-            m_ends.push(m_now + 100);
+            m_endTimes.push(m_now + 100);
         }
     }
 
@@ -102,7 +109,7 @@
     DrainEstimator m_drain;
     FakeService m_service;
     Base::SeededRandom m_random{20261};
-    std::priority_queue<std::int64_t, std::vector<std::int64_t>, std::greater<>> m_ends;
+    std::priority_queue<std::int64_t, std::vector<std::int64_t>, std::greater<>> m_endTimes;
     std::int64_t m_now = 0;
     std::uint64_t m_serial = 0;
 };
