--- a/tools/schedulingmodels/backloggedpool.h
+++ b/tools/schedulingmodels/backloggedpool.h
@@ -10,9 +10,10 @@
 
 namespace SchedulingModels {
 
-/// A pool of slots that serve one unit a step each, fed from a fair queue in which every
-/// customer keeps a given backlog. A work's true cost is drawn when it starts and differs from
-/// the hold; one in ten is ten times longer.
+/// A pool of slots that each serve one unit in a step, fed from a fair queue in which every
+/// customer keeps a given backlog. The true cost of a work is drawn when it starts and differs from
+/// its hold, the units that are counted for it before its cost is known. One work in ten is up to
+/// ten times as long as the others.
 class BackloggedPool
 {
 public:
@@ -22,6 +23,8 @@
         , m_slots(slots)
     {}
 
+    /// Adds a customer with \a backlog waiting works. Its service starts at that of the least
+    /// served customer, so that it gets no credit for the time before.
     void addCustomer(const Base::CustomerId &customer, std::size_t backlog)
     {
         const std::optional<Base::CustomerId> least = queue.leastServed(service);
@@ -31,32 +34,32 @@
             pushWork(customer);
     }
 
-    /// One unit of service at every slot.
+    /// Fills all slots, then serves one unit at each of them.
     void step()
     {
         while (m_running.size() < m_slots)
-            start();
+            startNext();
         for (std::size_t i = 0; i < m_running.size();) {
-            Running &run = m_running[i];
-            ++service.received[run.customer];
-            Base::ServiceUnits &held = service.held[run.customer];
-            const Base::ServiceUnits freed = std::min<Base::ServiceUnits>(run.held, 1);
+            Running &running = m_running[i];
+            ++service.received[running.customer];
+            Base::ServiceUnits &held = service.held[running.customer];
+            const Base::ServiceUnits freed = std::min<Base::ServiceUnits>(running.held, 1);
             held -= freed;
-            run.held -= freed;
-            if (--run.left > 0) {
+            running.held -= freed;
+            if (--running.remaining > 0) {
                 ++i;
                 continue;
             }
-            held -= run.held;
-            m_holds.recordCost(run.workClass, hint, run.cost);
-            queue.invalidatePosition(run.customer);
-            run = m_running.back();
+            held -= running.held;
+            m_holds.recordCost(running.workClass, hint, running.cost);
+            queue.invalidatePosition(running.customer);
+            running = m_running.back();
             m_running.pop_back();
         }
         ++m_now;
     }
 
-    /// Largest service minus least, over all customers.
+    /// Returns the largest service of any customer minus the least.
     Base::ServiceUnits gap() const
     {
         Base::ServiceUnits least = ~Base::ServiceUnits(0);
@@ -68,21 +71,24 @@
         return most - least;
     }
 
-    /// The bound of docs/design/queue-order.md: window + hold + slots * largest work or hold.
+    /// Returns the bound of the gap: window + largest hold + slots * the larger of the largest work
+    /// and the largest hold. docs/design/queue-order.md derives it.
     Base::ServiceUnits bound(Base::ServiceUnits window) const
     {
         return window + m_largestHold + m_slots * std::max(largest, m_largestHold);
     }
 
-    /// What callers say that a work will cost.
+    /// The cost of a work as callers estimate it, in units.
     Base::ServiceUnits hint = 20;
-    /// Whether holds are learned; else they are the hint.
+    /// Whether the hold is estimated from earlier costs; else it is the hint.
     bool isLearning = true;
+    /// The largest true cost of a work, in units.
     static constexpr Base::ServiceUnits largest = 100;
 
     Scheduling::FairQueue queue;
     FakeService service;
     FakeClaims claims;
+    /// Works that started after their start target.
     std::uint64_t late = 0;
     std::uint64_t started = 0;
 
@@ -92,7 +98,7 @@
         Base::CustomerId customer;
         Base::ClassId workClass;
         Base::ServiceUnits cost = 0;
-        Base::ServiceUnits left = 0;
+        Base::ServiceUnits remaining = 0;
         Base::ServiceUnits held = 0;
     };
 
@@ -106,7 +112,7 @@
         queue.push(work);
     }
 
-    void start()
+    void startNext()
     {
         const auto work = queue.takeNext(service, claims, at(m_now));
         ++started;
