--- a/tools/schedulingmodels/enginemodel.h
+++ b/tools/schedulingmodels/enginemodel.h
@@ -14,20 +14,24 @@
 using Base::Milliseconds;
 using namespace Scheduling;
 
+/// Size, speed and delays of an engine; times are in milliseconds.
 struct EngineShape
 {
     std::uint64_t seed = 1;
     std::size_t slots = 32;
-    /// Mean time that an answer takes; single ones take from a tenth to three times as long.
+    /// Mean time of an answer; a single answer takes between a tenth and three times as long.
     std::int64_t meanWhole = 800;
+    /// Age of a load report when it arrives.
     std::int64_t reportLag = 400;
     std::int64_t roundTrip = 4;
-    /// Reports show up to this many running less, and now and then twice as many queued more.
+    /// Error of load reports: each shows up to this many too few running requests, and one in ten
+    /// shows twice this many too many queued ones.
     std::size_t noise = 0;
 };
 
-/// One engine that admits in order of arrival, with work always waiting for a permit, in steps
-/// of 1 ms. Reports are polled every 500 ms and show the past.
+/// One engine that serves in order of arrival and its concurrency limiter, in steps of 1 ms. Work
+/// always waits for a permit. Load reports are polled every 500 ms and show the load of
+/// EngineShape::reportLag ago.
 class EngineModel
 {
 public:
@@ -37,27 +41,37 @@
         , m_random(shape.seed)
     {}
 
+    /// Runs for \a milliseconds and measures busy, slotSteps and longestQueue anew.
     void run(std::int64_t milliseconds)
     {
         busy = 0;
-        offered = 0;
+        slotSteps = 0;
         longestQueue = 0;
-        for (const std::int64_t until = m_now + milliseconds; m_now < until; ++m_now)
+        for (const std::int64_t endTime = m_now + milliseconds; m_now < endTime; ++m_now)
             step();
     }
 
-    double utilisation() const { return double(busy) / double(offered); }
+    /// Returns the share of slots in use during the last run().
+    double utilisation() const { return double(busy) / double(slotSteps); }
 
     EngineShape shape;
     ConcurrencyLimiter limiter;
+    /// A frozen engine accepts requests and serves none.
     bool isFrozen = false;
+    /// A failing engine fails every request after 1 ms.
     bool isFailing = false;
+    /// Whether polls of the load reach the engine.
     bool isReachable = true;
+    /// Factor on the time of answers.
     std::int64_t slowness = 1;
+    /// Permits in use.
     std::size_t inUse = 0;
+    /// Requests sent since the model was made.
     std::size_t sent = 0;
+    /// Slots in use, summed over the steps of the last run().
     std::size_t busy = 0;
-    std::size_t offered = 0;
+    /// All slots, summed over the steps of the last run().
+    std::size_t slotSteps = 0;
     std::size_t longestQueue = 0;
 
 private:
@@ -72,20 +86,21 @@
     {
         if (!isFrozen)
             serve();
-        for (auto it = m_ended.begin(); it != m_ended.end() && it->first <= m_now;)
-            it = release(it);
+        for (auto it = m_answersInTransit.begin();
+             it != m_answersInTransit.end() && it->first <= m_now;)
+            it = releasePermit(it);
         busy += std::min(m_running.size(), shape.slots);
-        offered += shape.slots;
+        slotSteps += shape.slots;
         longestQueue = std::max(longestQueue, m_queue.size());
-        m_past.push_back({m_running.size(), m_queue.size()});
-        if (m_past.size() > static_cast<std::size_t>(shape.reportLag) + 1)
-            m_past.pop_front();
+        m_loadHistory.push_back({m_running.size(), m_queue.size()});
+        if (m_loadHistory.size() > static_cast<std::size_t>(shape.reportLag) + 1)
+            m_loadHistory.pop_front();
         if (m_now % 500 == 0)
             poll();
         if (m_now % 20 == 0)
             limiter.advance(inUse, at(m_now));
         for (; inUse < limiter.limit(); ++inUse, ++sent)
-            m_arriving.emplace(m_now + shape.roundTrip / 2, m_now);
+            m_requestsInTransit.emplace(m_now + shape.roundTrip / 2, m_now);
     }
 
     void serve()
@@ -95,23 +110,26 @@
                 ++i;
                 continue;
             }
-            m_ended.emplace(m_now + shape.roundTrip / 2, m_running[i]);
+            m_answersInTransit.emplace(m_now + shape.roundTrip / 2, m_running[i]);
             m_running.erase(m_running.begin() + static_cast<std::ptrdiff_t>(i));
         }
-        while (!m_arriving.empty() && m_arriving.begin()->first <= m_now) {
-            m_queue.push_back(m_arriving.begin()->second);
-            m_arriving.erase(m_arriving.begin());
+        while (!m_requestsInTransit.empty() && m_requestsInTransit.begin()->first <= m_now) {
+            m_queue.push_back(m_requestsInTransit.begin()->second);
+            m_requestsInTransit.erase(m_requestsInTransit.begin());
         }
         while (!m_queue.empty() && m_running.size() < shape.slots) {
-            const std::int64_t part = m_random() % 8 == 0 ? 300 : 10 + m_random() % 120;
-            const std::int64_t whole = isFailing ? 1 : shape.meanWhole * slowness * part / 100;
-            m_running.push_back({m_queue.front(), m_now, m_now + std::max<std::int64_t>(1, whole)});
+            const std::int64_t percent = m_random() % 8 == 0 ? 300 : 10 + m_random() % 120;
+            const std::int64_t answerTime =
+                isFailing ? 1 : shape.meanWhole * slowness * percent / 100;
+            m_running.push_back(
+                {m_queue.front(), m_now, m_now + std::max<std::int64_t>(1, answerTime)});
             m_queue.pop_front();
         }
     }
 
+    /// Returns the permit of an answer that has arrived and reports it to the limiter.
     std::multimap<std::int64_t, Running>::iterator
-    release(std::multimap<std::int64_t, Running>::iterator it)
+    releasePermit(std::multimap<std::int64_t, Running>::iterator it)
     {
         PermitReport report;
         report.outcome = isFailing ? PermitOutcome::Failed : PermitOutcome::Completed;
@@ -120,7 +138,7 @@
         report.whole = Milliseconds(m_now - it->second.sentAt);
         limiter.recordPermit(report, inUse, at(m_now));
         --inUse;
-        return m_ended.erase(it);
+        return m_answersInTransit.erase(it);
     }
 
     void poll()
@@ -129,7 +147,7 @@
             limiter.recordUnreachable(at(m_now));
             return;
         }
-        LoadReport report = m_past.front();
+        LoadReport report = m_loadHistory.front();
         if (shape.noise > 0)
             report.running -= std::min(report.running, m_random() % (shape.noise + 1));
         if (shape.noise > 0 && m_random() % 10 == 0)
@@ -140,10 +158,13 @@
     std::mt19937_64 m_random;
     std::int64_t m_now = 0;
     std::vector<Running> m_running;
+    /// When each queued request was sent.
     std::deque<std::int64_t> m_queue;
-    std::multimap<std::int64_t, std::int64_t> m_arriving;
-    std::multimap<std::int64_t, Running> m_ended;
-    std::deque<LoadReport> m_past;
+    /// When each request was sent, by its arrival at the engine.
+    std::multimap<std::int64_t, std::int64_t> m_requestsInTransit;
+    /// Ended requests by the arrival of their answer.
+    std::multimap<std::int64_t, Running> m_answersInTransit;
+    std::deque<LoadReport> m_loadHistory;
 };
 
 } // namespace SchedulingModels
