--- a/tools/schedulingmodels/shardsmodel.h
+++ b/tools/schedulingmodels/shardsmodel.h
@@ -11,18 +11,21 @@
 
 using namespace Scheduling;
 
+/// What a run measured over all shards after its first 10 s.
 struct ShardsSeen
 {
+    /// Share of slot time in use.
     double busy = 0;
-    /// Seconds.
+    /// Longest wait that the queue of any shard implies, in seconds.
     double longestWait = 0;
-    /// Part of the slot time that idled while work waited at another shard.
+    /// Share of slot time that was idle while work waited at another shard.
     double idleWhileWaiting = 0;
 };
 
-/// Shards of which each has twice the slots of the one before, and entries that choose among
-/// them by summaries a second old. Every work holds a slot for 500 ms; steps of 2 ms,
-/// which is also the way to another home and back.
+/// Four shards of a pool, each with twice the slots of the one before, and entry hosts that select
+/// among them by summaries up to a second old. Every work takes a slot for 500 ms. The model runs
+/// in steps of 2 ms; a message to another shard's home (the router that gives out its permits) and
+/// the answer take one step.
 class ShardsModel
 {
 public:
@@ -34,16 +37,18 @@
         , m_planners(m_slots.size())
     {}
 
+    /// Runs for \a milliseconds with requests for the share \a load of all slots. \a hasHandover
+    /// tells whether homes hand waiting work to other homes.
     ShardsSeen run(double load, bool hasHandover, std::int64_t milliseconds)
     {
-        ShardsSeen seen;
+        ShardsSeen stats;
         double busy = 0;
-        double possible = 0;
+        double slotSteps = 0;
         double idle = 0;
         for (std::int64_t now = 0; now < milliseconds; now += 2) {
             if (now % 1000 == 0)
-                summarise(now);
-            for (m_due += load * 150 * 2 / 500; m_due >= 1; --m_due)
+                refreshSummaries(now);
+            for (m_dueRequests += load * 150 * 2 / 500; m_dueRequests >= 1; --m_dueRequests)
                 ++m_waiting[m_entries[m_random.next() % m_entries.size()].choose(m_summaries,
                                                                                  m_random)];
             if (hasHandover)
@@ -58,18 +63,19 @@
                 free += m_slots[i] - m_ends[i].size();
                 const double wait = double(m_waiting[i]) / (2 * double(m_slots[i]));
                 if (now > 10000) {
-                    seen.longestWait = std::max(seen.longestWait, wait);
+                    stats.longestWait = std::max(stats.longestWait, wait);
                     busy += double(m_ends[i].size());
-                    possible += double(m_slots[i]);
+                    slotSteps += double(m_slots[i]);
                 }
             }
             idle += now > 10000 ? double(std::min(waiting, free)) : 0;
         }
-        seen.busy = busy / possible;
-        seen.idleWhileWaiting = idle / possible;
-        return seen;
+        stats.busy = busy / slotSteps;
+        stats.idleWhileWaiting = idle / slotSteps;
+        return stats;
     }
 
+    /// How often an idle home asked another one for work.
     std::size_t asks = 0;
 
 private:
@@ -79,7 +85,7 @@
                 2 * double(m_slots[i]), at(now)};
     }
 
-    void summarise(std::int64_t now)
+    void refreshSummaries(std::int64_t now)
     {
         for (std::uint32_t i = 0; i < m_slots.size(); ++i)
             m_summaries[i] = summary(i, now);
@@ -91,29 +97,30 @@
         m_waiting[to] += count;
     }
 
+    /// Lets each home hand over its own waiting work, and ask for some if it is idle.
     void handOver(std::int64_t now)
     {
         for (std::uint32_t i = 0; i < m_slots.size(); ++i) {
-            std::vector<ShardSummary> seen = m_summaries;
-            seen[i] = summary(i, now);
-            for (const Handover &handover : m_planners[i].plan(i, seen, at(now)))
+            std::vector<ShardSummary> summaries = m_summaries;
+            summaries[i] = summary(i, now);
+            for (const Handover &handover : m_planners[i].plan(i, summaries, at(now)))
                 move(i, handover.shard, handover.count);
-            if (m_waiting[i] > 0 && seen[i].freePermits == 0) {
+            if (m_waiting[i] > 0 && summaries[i].freePermits == 0) {
                 for (const Handover &handover :
                      m_planners[i].planForPendingAsks(m_waiting[i], at(now)))
                     move(i, handover.shard, handover.count);
             }
-            if (m_waiting[i] > 0 || seen[i].freePermits == 0)
+            if (m_waiting[i] > 0 || summaries[i].freePermits == 0)
                 continue;
-            const auto ask =
-                m_planners[i].ask(i, seen[i].freePermits, seen[i].drainRate, m_summaries, at(now));
+            const auto ask = m_planners[i].ask(i, summaries[i].freePermits, summaries[i].drainRate,
+                                               m_summaries, at(now));
             if (!ask)
                 continue;
             ++asks;
-            const std::size_t given =
+            const std::size_t handedOver =
                 m_planners[ask->shard].answer(i, ask->count, m_waiting[ask->shard], at(now));
-            move(ask->shard, i, given);
-            m_planners[i].recordAnswer(ask->shard, given, at(now));
+            move(ask->shard, i, handedOver);
+            m_planners[i].recordAnswer(ask->shard, handedOver, at(now));
         }
     }
 
@@ -124,7 +131,8 @@
     std::vector<ShardSummary> m_summaries;
     std::vector<HandoverPlanner> m_planners;
     Base::SeededRandom m_random{20261};
-    double m_due = 0;
+    /// Requests that are due but not sent yet, with the fraction that the step length leaves.
+    double m_dueRequests = 0;
 };
 
 } // namespace SchedulingModels
