--- a/tools/measurescheduling/main.cpp
+++ b/tools/measurescheduling/main.cpp
@@ -8,8 +8,8 @@
 #include <iostream>
 #include <string_view>
 
-// Measures the scheduling decisions against models of a pool, from a fixed seed. The figures
-// in docs/design/ come from here.
+// Runs the scheduling decisions in models of a pool, from a fixed seed, and prints what they lead
+// to. docs/design/ cites its output.
 
 using namespace Scheduling;
 using namespace SchedulingModels;
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// Window against gap and start targets.
+/// Prints the fairness gap and the missed start targets for several windows and cost hints, with
+/// holds that are learned and with holds that equal the hint.
 void measureWindow()
 {
     for (const Base::ServiceUnits hint : {5, 20, 100}) {
@@ -41,8 +42,9 @@
     }
 }
 
-/// Time of a take with 9,400 customers and 20,000 waiting.
-void measureTake()
+/// Prints the time to take the next work and push another one, with 9,400 customers and 20,000
+/// waiting works.
+void measureTakeTime()
 {
     FairQueue queue = *FairQueue::create({2000});
     FakeService service;
@@ -67,7 +69,8 @@
               << " ns\n";
 }
 
-/// Target factor against refusals and waits.
+/// Prints refusals and waits of a customer that floods the pool and of a small one, for several
+/// target factors of admission.
 void measureTargetFactor()
 {
     for (const double factor : {1.0, 2.0, 4.0, 8.0, 1000.0}) {
@@ -84,7 +87,8 @@
     }
 }
 
-/// Limit against size, lag and answer time.
+/// Prints the utilization that the concurrency limiter reaches, for several engine sizes, answer
+/// times and lags of the load report.
 void measureLimit()
 {
     for (const std::size_t slots : {4, 16, 64, 200}) {
@@ -104,7 +108,8 @@
     }
 }
 
-/// Damping and handover.
+/// Prints how evenly several shards are used, for several dampings of shard selection and with and
+/// without handover of waiting work.
 void measureShards()
 {
     for (const std::size_t entries : {8, 200}) {
@@ -113,17 +118,17 @@
             policy.damping = Milliseconds(damping) + std::chrono::microseconds(1);
             for (const bool hasHandover : {false, true}) {
                 ShardsModel model(entries, policy);
-                const ShardsSeen seen = model.run(0.95, hasHandover, 120000);
+                const ShardsSeen stats = model.run(0.95, hasHandover, 120000);
                 std::cout << entries << " entries, damping " << damping << " ms, handover "
-                          << hasHandover << ": busy " << seen.busy << ", longest wait "
-                          << seen.longestWait << " s, idle while work waited "
-                          << seen.idleWhileWaiting << ", asks " << model.asks << '\n';
+                          << hasHandover << ": busy " << stats.busy << ", longest wait "
+                          << stats.longestWait << " s, idle while work waited "
+                          << stats.idleWhileWaiting << ", asks " << model.asks << '\n';
             }
         }
     }
 }
 
-/// Attempts for each request when all fail.
+/// Prints the attempts for each request when every attempt fails, for several retry shares.
 void measureRetries()
 {
     for (const double share : {0.0, 0.1, 0.2, 1.0})
@@ -137,7 +142,7 @@
     const std::string_view subject = argc > 1 ? argv[1] : "";
     if (subject == "queue") {
         measureWindow();
-        measureTake();
+        measureTakeTime();
     } else if (subject == "admission") {
         measureTargetFactor();
     } else if (subject == "limit") {
