--- a/tools/coordinationmeasure/main.cpp
+++ b/tools/coordinationmeasure/main.cpp
@@ -1,4 +1,5 @@
-// Prints the slopes of the coordination parts for the pages of docs/design/.
+// Measures how the costs of the coordination library (bytes, time, memory, delay) grow with the
+// number of customers, pools and routers. docs/design/ cites its output.
 
 #include "base/random.h"
 #include "coordination/configurationreplica.h"
@@ -21,12 +22,14 @@
 
 const Base::PoolId pool("model/general-7b");
 
-std::size_t bytesOf(const Node::PeerMessage &message)
+/// Returns the bytes that \a message adds to a batch between two routers.
+std::size_t wireSize(const Node::PeerMessage &message)
 {
-    const Wire::BatchEnds ends{Base::HostId("router-17"), 1764700000000, Base::HostId("router-4")};
+    const Wire::BatchEnds batchEnds{Base::HostId("router-17"), 1764700000000,
+                                    Base::HostId("router-4")};
     lagoonmast::wire::Batch batch;
-    Wire::startBatch(batch, ends);
-    return Wire::appendMessage(batch, ends, message);
+    Wire::startBatch(batch, batchEnds);
+    return Wire::appendMessage(batch, batchEnds, message);
 }
 
 std::unique_ptr<ServiceLedger> makeLedger(const std::string &host)
@@ -35,12 +38,15 @@
         *ServiceLedger::create({}, Base::HostId(host), 1764700000000, pool));
 }
 
-double microseconds(Stopwatch::time_point since, std::size_t count)
+/// Returns the time since \a since, divided by \a count.
+double meanMicroseconds(Stopwatch::time_point since, std::size_t count)
 {
-    const std::chrono::duration<double, std::micro> passed = Stopwatch::now() - since;
-    return passed.count() / static_cast<double>(count);
+    const std::chrono::duration<double, std::micro> elapsed = Stopwatch::now() - since;
+    return elapsed.count() / static_cast<double>(count);
 }
 
+/// Prints the size of a ledger's delta and snapshot, the time of its operations for each customer,
+/// and its memory.
 void measureLedger(std::size_t customers)
 {
     auto home = makeLedger("router-17");
@@ -51,21 +57,23 @@
     const std::size_t memory = (mallinfo2().uordblks - before) / customers;
     auto since = Stopwatch::now();
     const LedgerDelta delta = *home->takeDelta();
-    const double take = microseconds(since, customers);
+    const double take = meanMicroseconds(since, customers);
     since = Stopwatch::now();
     peer->merge(delta);
-    const double merge = microseconds(since, customers);
+    const double merge = meanMicroseconds(since, customers);
     std::size_t sum = 0;
     since = Stopwatch::now();
     for (const LedgerEntry &entry : delta.entries)
         sum += peer->position(entry.customer);
-    const double position = microseconds(since, customers);
+    const double position = meanMicroseconds(since, customers);
     std::printf("ledger customers=%zu delta_bytes=%zu bytes_per_entry=%.1f take_us=%.3f "
                 "merge_us=%.3f position_us=%.3f snapshot_bytes=%zu memory_per_customer=%zu (%zu)\n",
-                customers, bytesOf(delta), double(bytesOf(delta)) / double(customers), take, merge,
-                position, bytesOf(peer->snapshot()), memory, sum % 10);
+                customers, wireSize(delta), double(wireSize(delta)) / double(customers), take,
+                merge, position, wireSize(peer->snapshot()), memory, sum % 10);
 }
 
+/// Prints the size of 240 heartbeats of a router that is the home of \a pools pools and knows \a
+/// marks leaving servers.
 void measureHeartbeat(std::size_t pools, std::size_t marks)
 {
     Membership membership =
@@ -88,12 +96,13 @@
     constexpr int count = 240;
     for (int i = 0; i < count; ++i) {
         Heartbeat heartbeat = *membership.dueHeartbeat(now += 500ms);
-        for (std::size_t at = 0; at < pools; ++at)
-            heartbeat.pools.push_back({pool, std::uint32_t(at), std::uint32_t(random.next() % 40),
+        for (std::size_t index = 0; index < pools; ++index)
+            heartbeat.pools.push_back({pool, std::uint32_t(index),
+                                       std::uint32_t(random.next() % 40),
                                        std::uint32_t(random.next() % 3), 30.0});
         membership.omitUnchanged(heartbeat);
-        bytes += bytesOf(heartbeat);
-        largest = std::max(largest, bytesOf(heartbeat));
+        bytes += wireSize(heartbeat);
+        largest = std::max(largest, wireSize(heartbeat));
     }
     const double mean = double(bytes) / count;
     std::printf("heartbeat pools=%zu marks=%zu mean_bytes=%.1f largest_bytes=%zu "
@@ -101,10 +110,12 @@
                 pools, marks, mean, largest, mean * 2 * 38);
 }
 
-/// Routers of one region, their heartbeats every 500 ms, one poller for each of four zones.
-void measureSpread(std::size_t count)
+/// Prints how long 100 configuration changes take to reach the last of \a count routers of one
+/// region. The routers send heartbeats every 500 ms, and one router in each of four zones polls the
+/// table.
+void measurePropagation(std::size_t count)
 {
-    Fakes::Table truth;
+    Fakes::Table sharedTable;
     struct Router
     {
         Router(Fakes::Table &table, const std::string &name)
@@ -120,11 +131,11 @@
     Base::SeededRandom random(20261);
     std::vector<std::unique_ptr<Router>> routers;
     for (std::size_t i = 0; i < count; ++i) {
-        routers.push_back(std::make_unique<Router>(truth, "r" + std::to_string(i)));
+        routers.push_back(std::make_unique<Router>(sharedTable, "r" + std::to_string(i)));
         routers.back()->replica.setPolling(i < 4);
         routers.back()->phase = std::int64_t(random.next() % 50);
     }
-    std::vector<Base::Duration> times;
+    std::vector<Base::Duration> delays;
     std::size_t pushes = 0;
     std::size_t bytes = 0;
     Base::TimePoint now{1s};
@@ -144,7 +155,7 @@
                 if (to == from || changes.empty())
                     continue;
                 ++pushes;
-                bytes += bytesOf(Node::ConfigurationPush{changes});
+                bytes += wireSize(Node::ConfigurationPush{changes});
                 routers[from]->replica.applyChanges(changes);
             }
         }
@@ -152,8 +163,8 @@
     constexpr int changes = 100;
     std::int64_t tick = 0;
     for (int i = 1; i <= changes; ++i) {
-        const std::size_t at = random.next() % count;
-        routers[at]->replica.writeTarget(
+        const std::size_t index = random.next() % count;
+        routers[index]->replica.writeTarget(
             1, {Base::ClassId("class-" + std::to_string(i % 20)), Base::Milliseconds(i), 0.5},
             std::uint64_t(i - 1), now);
         const Base::TimePoint since = now;
@@ -164,17 +175,17 @@
         };
         while (!isEverywhere())
             step(++tick);
-        times.push_back(now - since);
+        delays.push_back(now - since);
         for (std::uint64_t pause = random.next() % 150; pause > 0; --pause)
             step(++tick);
     }
-    std::sort(times.begin(), times.end());
+    std::sort(delays.begin(), delays.end());
     const auto seconds = [](Base::Duration time) {
         return std::chrono::duration<double>(time).count();
     };
     std::printf("configuration routers=%zu changes=%d to_last_router_median_s=%.2f largest_s=%.2f "
                 "pushes_per_router_and_change=%.2f push_bytes_per_router_and_change=%.0f\n",
-                count, changes, seconds(times[times.size() / 2]), seconds(times.back()),
+                count, changes, seconds(delays[delays.size() / 2]), seconds(delays.back()),
                 double(pushes) / double(changes * count), double(bytes) / double(changes * count));
 }
 
@@ -188,5 +199,5 @@
     measureHeartbeat(3, 0);
     measureHeartbeat(3, 30);
     for (const std::size_t routers : {8, 39, 128})
-        measureSpread(routers);
+        measurePropagation(routers);
 }
