--- a/tools/gatewayload/caller.cpp
+++ b/tools/gatewayload/caller.cpp
@@ -23,17 +23,17 @@
     return text + "\r\n";
 }
 
-std::uint64_t countOf(std::string_view text, std::string_view what)
+std::uint64_t countOccurrences(std::string_view text, std::string_view pattern)
 {
     std::uint64_t n = 0;
-    for (std::size_t at = text.find(what); at != std::string_view::npos;
-         at = text.find(what, at + what.size()))
+    for (std::size_t at = text.find(pattern); at != std::string_view::npos;
+         at = text.find(pattern, at + pattern.size()))
         ++n;
     return n;
 }
 
-/// Whether \a text holds one whole answer.
-bool isWhole(const std::string &text)
+/// Returns whether \a text holds one complete HTTP answer.
+bool isComplete(const std::string &text)
 {
     const std::size_t head = text.find("\r\n\r\n");
     if (head == std::string::npos)
@@ -44,6 +44,7 @@
     return length < head && text.size() - head - 4 >= std::stoul(text.substr(length + 16));
 }
 
+/// Sends \a request and reads its answer. Returns whether the answer is complete with status 200.
 bool exchange(tcp::socket &socket, const std::string &request, bool isStream, LoadCounts &counts)
 {
     boost::system::error_code ec;
@@ -51,7 +52,7 @@
     std::string answer;
     std::array<char, 8192> buf{};
     bool isOpen = false;
-    while (!ec && !isWhole(answer)) {
+    while (!ec && !isComplete(answer)) {
         const std::size_t n = socket.read_some(boost::asio::buffer(buf), ec);
         answer.append(buf.data(), n);
         if (isStream && !isOpen && n > 0) {
@@ -61,7 +62,7 @@
     }
     if (isOpen)
         --counts.openStreams;
-    counts.events += countOf(answer, "\ndata: ");
+    counts.events += countOccurrences(answer, "\ndata: ");
     return !ec && answer.rfind("HTTP/1.1 200", 0) == 0;
 }
 
@@ -79,9 +80,10 @@
         socket.connect(endpoint, ec);
         while (!ec && !isStopped) {
             const std::string id = std::to_string(caller) + "-" + std::to_string(++serial);
-            const bool isGood = exchange(socket, requestText(plan, id), plan.isStream, counts);
-            ++(isGood ? counts.requests : counts.failures);
-            if (!isGood)
+            const bool hasSucceeded =
+                exchange(socket, requestText(plan, id), plan.isStream, counts);
+            ++(hasSucceeded ? counts.requests : counts.failures);
+            if (!hasSucceeded)
                 break;
         }
     }
