--- a/tools/gatewayload/processusage.cpp
+++ b/tools/gatewayload/processusage.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Fields of /proc/PID/stat after the program's name, counted from the state (proc(5)).
+/// Index of the user time among the fields of /proc/PID/stat that follow the program's name, where
+/// the state has the index 0 (proc(5)). The system time is the next field.
 constexpr int userTimeField = 11;
 
 } // namespace
