--- a/tools/gatewayload/main.cpp
+++ b/tools/gatewayload/main.cpp
@@ -12,14 +12,14 @@
 
 std::vector<StandIn::OptionSpec> optionSpecs()
 {
-    return {{"pid", "", "process whose use is measured"},
+    return {{"pid", "", "id of the process whose usage is measured"},
             {"path", "/read/x", "path of the requests"},
             {"stream", "false", "whether the requests are streams"},
-            {"callers", "40", "callers at once; 0 measures an idle process"},
+            {"callers", "40", "concurrent callers; 0 measures an idle process"},
             {"seconds", "10", "length of the measurement"}};
 }
 
-/// Prints what the process used for what the callers got.
+/// Runs the callers and prints what they received and what the process used meanwhile.
 void measure(const Options &options, const LoadPlan &plan)
 {
     LoadCounts counts;
@@ -29,23 +29,24 @@
     for (std::int64_t i = 0; i < options.number("callers"); ++i)
         threads.emplace_back(
             [&, i] { runCaller(plan, static_cast<std::uint64_t>(i), isStopped, counts); });
-    std::uint64_t mostOpen = 0;
+    std::uint64_t maxOpenStreams = 0;
     const auto end =
         std::chrono::steady_clock::now() + std::chrono::seconds(options.number("seconds"));
     while (std::chrono::steady_clock::now() < end) {
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
-        mostOpen = std::max(mostOpen, counts.openStreams.load());
+        maxOpenStreams = std::max(maxOpenStreams, counts.openStreams.load());
     }
     const ProcessUsage after = usageOf(options.text("pid"));
     const double seconds = static_cast<double>(options.number("seconds"));
-    const double used = static_cast<double>((after.processor - before.processor).count());
+    const double processorMs = static_cast<double>((after.processor - before.processor).count());
     const auto requests = static_cast<double>(counts.requests);
     std::printf("requests %.0f failures %llu events %llu open %llu\n", requests,
                 static_cast<unsigned long long>(counts.failures),
                 static_cast<unsigned long long>(counts.events),
-                static_cast<unsigned long long>(mostOpen));
-    std::printf("processor %.2f%% of a core, %.1f us a request, peak %ld KB\n", used / 10 / seconds,
-                requests > 0 ? used * 1000 / requests : 0.0, after.peakKilobytes);
+                static_cast<unsigned long long>(maxOpenStreams));
+    std::printf("processor %.2f%% of a core, %.1f us a request, peak %ld KB\n",
+                processorMs / 10 / seconds, requests > 0 ? processorMs * 1000 / requests : 0.0,
+                after.peakKilobytes);
     isStopped = true;
     for (std::thread &it : threads)
         it.join();
@@ -53,7 +54,8 @@
 
 } // namespace
 
-/// Loads a gateway at --address and prints what its process used.
+/// Sends load to the gateway at --address and prints the processor time and memory of the process
+/// --pid.
 int main(int argc, char **argv)
 {
     return boost::leaf::try_handle_all(
