--- a/tools/slopes/instruments.cpp
+++ b/tools/slopes/instruments.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-const Wire::BatchEnds &ends()
+const Wire::BatchEnds &batchEnds()
 {
     static const Wire::BatchEnds value{Base::HostId("router-17"), 1764700000000,
                                        Base::HostId("router-4")};
@@ -26,21 +26,21 @@
 std::size_t wireSize(const Node::PeerMessage &message)
 {
     lagoonmast::wire::Batch batch;
-    Wire::startBatch(batch, ends());
-    return Wire::appendMessage(batch, ends(), message);
+    Wire::startBatch(batch, batchEnds());
+    return Wire::appendMessage(batch, batchEnds(), message);
 }
 
 std::string encode(const Node::PeerMessage &message)
 {
     lagoonmast::wire::Batch batch;
-    Wire::startBatch(batch, ends());
-    Wire::appendMessage(batch, ends(), message);
+    Wire::startBatch(batch, batchEnds());
+    Wire::appendMessage(batch, batchEnds(), message);
     return batch.SerializeAsString();
 }
 
 std::size_t decode(const std::string &bytes)
 {
-    const Base::Result<Wire::PeerBatch> batch = Wire::decodeBatch(bytes, ends().receiver);
+    const Base::Result<Wire::PeerBatch> batch = Wire::decodeBatch(bytes, batchEnds().receiver);
     return batch ? batch->messages.size() : 0;
 }
 
