--- a/tools/slopes/measurements.h
+++ b/tools/slopes/measurements.h
@@ -6,19 +6,23 @@
 
 namespace Slopes {
 
-/// Heartbeats: build, encode, decode, receive; bytes a second to all peers.
+/// Measures the times to build, encode, decode and receive heartbeats, and the bytes a second that
+/// a router sends to all its peers.
 void measureHeartbeats(const Report &report, std::uint64_t seed);
-/// Deltas of the service ledger, and its memory.
+/// Measures deltas of the service ledger and the ledger's memory.
 void measureLedger(const Report &report);
-/// Configuration changes and snapshots.
+/// Measures changes and snapshots of the configuration.
 void measureConfiguration(const Report &report);
-/// The order of homes.
+/// Measures how long it takes to order the routers that may be the home of a pool's shard, that is,
+/// give out its permits.
 void measureHomeOrder(const Report &report);
-/// One permit at a pool home, with customers backlogged.
+/// Measures one permit from request to release at the home of a pool with backlogged customers, and
+/// the messages about permits.
 void measureHome(const Report &report, std::uint64_t seed);
-/// Memory of an open request at its entry host.
+/// Measures the memory of an open request at its entry host.
 void measureEntry(const Report &report);
-/// Whole node cores in virtual time, idle and under load.
+/// Measures the processor time and the traffic of whole node cores in virtual time, idle and under
+/// load.
 void measureFleet(const Report &report, std::uint64_t seed);
 
 } // namespace Slopes
