--- a/tools/slopes/report.cpp
+++ b/tools/slopes/report.cpp
@@ -12,8 +12,8 @@
 
 void Report::add(const Figure &figure) const
 {
-    const char *form = m_isCsv ? "%s,%s,%.3f,%s\n" : "%-34s %-34s %14.3f %s\n";
-    std::printf(form, figure.subject.c_str(), figure.shape.c_str(), figure.value,
+    const char *format = m_isCsv ? "%s,%s,%.3f,%s\n" : "%-34s %-34s %14.3f %s\n";
+    std::printf(format, figure.subject.c_str(), figure.shape.c_str(), figure.value,
                 figure.unit.c_str());
     std::fflush(stdout);
 }
--- a/tools/slopes/report.h
+++ b/tools/slopes/report.h
@@ -5,17 +5,17 @@
 
 namespace Slopes {
 
-/// One measured number.
+/// One measurement.
 struct Figure
 {
     std::string subject;
-    /// The sizes that it was measured at.
+    /// The input sizes of the measurement, such as "members=39 full".
     std::string shape;
     double value = 0;
     std::string unit;
 };
 
-/// Prints figures as they come, as aligned columns or as comma-separated values.
+/// Prints each figure at once, in aligned columns or as comma-separated values.
 class Report
 {
 public:
@@ -23,6 +23,7 @@
         : m_isCsv(isCsv)
     {}
 
+    /// Prints the header line of comma-separated values.
     void begin() const;
     void add(const Figure &figure) const;
 
