--- a/tools/slopes/coordinationslopes.cpp
+++ b/tools/slopes/coordinationslopes.cpp
@@ -16,10 +16,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr Base::Incarnation start = 1764700000000;
-/// Pool shards that one router holds: 475 shards of 24 servers on 420 routers are 1.1 each,
-/// and the spread of rendezvous hashing gives some routers three.
-constexpr std::size_t poolsHeld = 3;
+constexpr Base::Incarnation hostIncarnation = 1764700000000;
+/// Pool shards that one router is the home of. 475 shards of 24 servers on 420 routers are 1.1
+/// shards for each router in the mean, and rendezvous hashing is uneven enough to give some routers
+/// three.
+constexpr std::size_t shardsPerHome = 3;
 
 Base::HostId hostName(std::size_t index)
 {
@@ -38,11 +39,12 @@
         host.zone = Base::ZoneId("zone-" + std::to_string(i % 4));
         host.address = "10.20.3.17:7400";
         host.callerAddress = "10.20.3.17:8080";
-        host.incarnation = start;
+        host.incarnation = hostIncarnation;
         listing.hosts.push_back(host);
     }
     auto membership = Coordination::Membership::create(
-        policy, {hostName(0), start, Base::ZoneId("zone-0"), "10.20.3.17:7400", "10.20.3.17:8080"});
+        policy, {hostName(0), hostIncarnation, Base::ZoneId("zone-0"), "10.20.3.17:7400",
+                 "10.20.3.17:8080"});
     membership->seed(listing, Base::TimePoint{1s});
     return std::move(*membership);
 }
@@ -51,7 +53,7 @@
                                       Base::RandomSource &random)
 {
     Coordination::Heartbeat heartbeat = *membership.dueHeartbeat(now);
-    for (std::size_t i = 0; i < poolsHeld; ++i) {
+    for (std::size_t i = 0; i < shardsPerHome; ++i) {
         heartbeat.pools.push_back({Base::PoolId("model/general-7b"), std::uint32_t(i),
                                    std::uint32_t(random.next() % 40),
                                    std::uint32_t(random.next() % 3), 30.0});
@@ -60,7 +62,8 @@
     return heartbeat;
 }
 
-/// Returns the mean bytes of a heartbeat.
+/// Reports the costs of one heartbeat, with every pool in it if \a isFull, else with only those
+/// that changed. Returns the mean bytes of a heartbeat.
 double measureHeartbeat(const Report &report, std::size_t members, bool isFull, std::uint64_t seed)
 {
     constexpr std::size_t count = 500;
@@ -82,22 +85,22 @@
     for (const Coordination::Heartbeat &heartbeat : sent)
         bytes += wireSize(heartbeat);
     const double mean = static_cast<double>(bytes) / static_cast<double>(sent.size());
-    std::size_t at = 0;
+    std::size_t next = 0;
     std::vector<std::string> encoded;
     add("heartbeat encode",
-        medianMicroseconds(count, [&] { encoded.push_back(encode(sent[at++])); }), "us");
-    at = 0;
+        medianMicroseconds(count, [&] { encoded.push_back(encode(sent[next++])); }), "us");
+    next = 0;
     std::size_t decoded = 0;
-    add("heartbeat decode", medianMicroseconds(count, [&] { decoded += decode(encoded[at++]); }),
+    add("heartbeat decode", medianMicroseconds(count, [&] { decoded += decode(encoded[next++]); }),
         "us");
     Coordination::Membership receiver = makeMembership(members, 30);
     now = Base::TimePoint{1s};
-    at = 0;
+    next = 0;
     add("heartbeat receive",
         medianMicroseconds(count,
                            [&] {
-                               Coordination::Heartbeat heartbeat = sent[at++];
-                               heartbeat.host = hostName(1 + at % (members - 1));
+                               Coordination::Heartbeat heartbeat = sent[next++];
+                               heartbeat.host = hostName(1 + next % (members - 1));
                                receiver.receive(heartbeat, now);
                            }),
         "us");
@@ -117,10 +120,11 @@
 
 Coordination::ServiceLedger makeLedger(std::size_t host)
 {
-    return std::move(*Coordination::ServiceLedger::create({}, hostName(host), start,
+    return std::move(*Coordination::ServiceLedger::create({}, hostName(host), hostIncarnation,
                                                           Base::PoolId("model/general-7b")));
 }
 
+/// Reports the cost of a ledger of \a customers customers, and of a delta with \a changed of them.
 void measureDelta(const Report &report, std::size_t customers, std::size_t changed)
 {
     const std::vector<Base::CustomerId> names = customerNames(customers);
@@ -142,13 +146,13 @@
         deltas.push_back(*home.takeDelta());
     });
     std::vector<std::string> encoded;
-    std::size_t at = 0;
+    std::size_t next = 0;
     const double encoding =
-        medianMicroseconds(20, [&] { encoded.push_back(encode(deltas[at++])); });
-    at = 0;
-    const double decoding = medianMicroseconds(20, [&] { decode(encoded[at++]); });
-    at = 0;
-    const double merging = medianMicroseconds(20, [&] { peer.merge(deltas[at++]); });
+        medianMicroseconds(20, [&] { encoded.push_back(encode(deltas[next++])); });
+    next = 0;
+    const double decoding = medianMicroseconds(20, [&] { decode(encoded[next++]); });
+    next = 0;
+    const double merging = medianMicroseconds(20, [&] { peer.merge(deltas[next++]); });
     report.add({"ledger charges and delta", sizes, make, "us"});
     report.add({"ledger delta encode", sizes, encoding, "us"});
     report.add({"ledger delta decode", sizes, decoding, "us"});
