--- a/tools/slopes/homeslopes.cpp
+++ b/tools/slopes/homeslopes.cpp
@@ -17,12 +17,12 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t serversOfShard = 24;
-constexpr std::size_t waitingOfCustomer = 2;
+constexpr std::size_t serversPerShard = 24;
+constexpr std::size_t waitingPerCustomer = 2;
 const Base::PoolId pool("model/general-7b");
 
-/// Keeps what a home grants and counts what it refuses.
-class Answers final : public Node::Outbox
+/// Keeps the grants of a home and counts its refusals.
+class RecordingOutbox final : public Node::Outbox
 {
 public:
     void post(const Base::HostId & /*to*/, const Node::PeerMessage &message) override
@@ -46,7 +46,8 @@
     request.pool = pool;
     request.customer = Base::CustomerId("customer-" + std::to_string(serial % customers));
     request.workClass = Base::ClassId("replies");
-    // Far enough off that admission turns nothing away: the slope of a full queue is wanted.
+    // The start target is so long that admission refuses nothing: the measurement needs a full
+    // queue.
     request.startWithin = 1h;
     request.expectedCost = 1100;
     request.prefix = 0x1234567812345678 + serial % 1000;
@@ -60,18 +61,19 @@
         400ms,         3000ms,     1100};
 }
 
+/// Reports the cost of giving a permit out again while every customer has requests waiting.
 void measureDispatch(const Report &report, std::size_t customers, std::uint64_t seed)
 {
     const std::string sizes = sizeLabel("backlogged", customers) + " servers=24";
     Base::SeededRandom random(seed);
-    Answers answers;
+    RecordingOutbox outbox;
     auto ledger =
         std::move(*Coordination::ServiceLedger::create({}, Base::HostId("router-17"), 1, pool));
     Node::NodeSettings settings;
-    // Else the limits grow until nothing waits.
+    // Without this maximum, the limits of the servers would grow until nothing waits.
     settings.concurrency.maxLimit = settings.concurrency.initialLimit;
-    auto home = std::move(*Node::PoolHome::create(settings, pool, 0, ledger, answers, random));
-    std::vector<Node::Server> servers(serversOfShard);
+    auto home = std::move(*Node::PoolHome::create(settings, pool, 0, ledger, outbox, random));
+    std::vector<Node::Server> servers(serversPerShard);
     std::vector<const Node::Server *> pointers;
     for (std::size_t i = 0; i < servers.size(); ++i) {
         servers[i].id = Base::ServerId("model-server-" + std::to_string(i));
@@ -82,16 +84,16 @@
     Base::TimePoint now{1s};
     std::uint64_t serial = 0;
     const std::size_t before = allocatedBytes();
-    // The servers take 8 permits each before anything waits.
-    const std::size_t wanted = customers * waitingOfCustomer;
-    while (home->waiting() < wanted && serial < wanted + 1000)
+    // Each server gives 8 permits before any request waits.
+    const std::size_t wantedWaiting = customers * waitingPerCustomer;
+    while (home->waiting() < wantedWaiting && serial < wantedWaiting + 1000)
         home->request(requestOf(++serial, customers), now);
     const auto memory =
         static_cast<double>(allocatedBytes() - before) / static_cast<double>(home->waiting());
     const double dispatch = medianMicroseconds(2000, [&] {
         now += 1ms;
-        const Node::PermitGrant grant = answers.grants.front();
-        answers.grants.pop_front();
+        const Node::PermitGrant grant = outbox.grants.front();
+        outbox.grants.pop_front();
         home->release(releaseOf(grant), now);
         home->request(requestOf(++serial, customers), now);
     });
@@ -100,9 +102,10 @@
         {"home advance", sizes, medianMicroseconds(50, [&] { home->advance(now += 50ms); }), "us"});
     report.add({"home memory", sizes, memory, "B/waiting request"});
     report.add({"home waiting", sizes, static_cast<double>(home->waiting()), "requests"});
-    report.add({"home refused", sizes, static_cast<double>(answers.refused), "requests"});
+    report.add({"home refused", sizes, static_cast<double>(outbox.refused), "requests"});
 }
 
+/// Reports size, encoding time and decoding time of \a message.
 void measurePermitMessage(const Report &report, const std::string &name,
                           const Node::PeerMessage &message)
 {
@@ -112,11 +115,12 @@
     report.add({name, "decode", medianMicroseconds(2000, [&] { decode(bytes); }), "us"});
 }
 
+/// Reports the memory that the entry host takes for one open request, with a body of \a bodyBytes.
 void measureOpenRequests(const Report &report, std::size_t bodyBytes)
 {
     constexpr std::size_t count = 2000;
     const std::size_t before = allocatedBytes();
-    std::map<Base::RequestKey, Node::OpenRequest> open;
+    std::map<Base::RequestKey, Node::OpenRequest> openRequests;
     for (std::uint64_t serial = 1; serial <= count; ++serial) {
         Node::OpenRequest request;
         request.key = {Base::HostId("router-17"), 1764700000000, serial};
@@ -131,7 +135,7 @@
         request.home = Base::HostId("router-4");
         request.server = Base::ServerId("model-server-" + std::to_string(serial));
         request.permit = request.attemptId();
-        open.emplace(request.key, std::move(request));
+        openRequests.emplace(request.key, std::move(request));
     }
     const auto memory = static_cast<double>(allocatedBytes() - before);
     report.add({"open request, core", sizeLabel("body", bodyBytes), memory / count, "B"});
@@ -144,18 +148,20 @@
     for (const std::size_t customers : {16, 940, 9400})
         measureDispatch(report, customers, seed);
     const Node::PermitRequest request = requestOf(123456789, 9400);
-    // The wire leaves the sender's or the receiver's name out of an attempt that is its own.
-    Node::PermitRequest own = request;
-    own.attempt.request.entry = Base::HostId("router-17");
+    // The encoding omits an attempt's entry host if that is the sender or the receiver of the
+    // batch. Requests and releases go from the entry host to the home, and grants come back.
+    Node::PermitRequest sentRequest = request;
+    sentRequest.attempt.request.entry = Base::HostId("router-17");
     const Node::PermitGrant grant{{{Base::HostId("router-4"), 1764700000000, 123456789}, 1},
                                   pool,
                                   3,
                                   Base::ServerId("model-server-8123")};
     Node::PermitRelease release = releaseOf(grant);
-    release.attempt = own.attempt;
-    measurePermitMessage(report, "permit request", own);
+    release.attempt = sentRequest.attempt;
+    measurePermitMessage(report, "permit request", sentRequest);
     measurePermitMessage(report, "permit grant", grant);
-    measurePermitMessage(report, "service charge", Node::ServiceCharge{own.attempt, pool, 3, 500});
+    measurePermitMessage(report, "service charge",
+                         Node::ServiceCharge{sentRequest.attempt, pool, 3, 500});
     measurePermitMessage(report, "permit release", release);
 }
 
