--- a/tools/slopes/fleetslopes.cpp
+++ b/tools/slopes/fleetslopes.cpp
@@ -11,9 +11,11 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::chrono::seconds settling{5};
-constexpr std::chrono::seconds measured{5};
+/// Virtual time before and during a measurement.
+constexpr std::chrono::seconds warmUp{5};
+constexpr std::chrono::seconds measuredTime{5};
 
+/// Passes the requests of a workload to a virtual fleet.
 class FleetSubmitter final : public Measure::Submitter
 {
 public:
@@ -29,6 +31,7 @@
     VirtualFleet::Fleet *m_fleet;
 };
 
+/// Returns the bytes that all routers have sent to one another.
 std::uint64_t bytesSent(VirtualFleet::Fleet &fleet)
 {
     std::uint64_t sum = 0;
@@ -37,17 +40,18 @@
     return sum;
 }
 
-/// Processor time and bytes of each router in each virtual second. The time is that of the
-/// whole process, with the virtual network, table and servers in it: an upper bound.
+/// Reports processor time and bytes for each router and virtual second. The time is that of the
+/// whole process, which also runs the virtual network, table and servers, so it is an upper bound.
 void measureRun(const Report &report, VirtualFleet::Fleet &fleet, const std::string &sizes)
 {
     const auto routerSeconds =
-        static_cast<double>(fleet.routers()) * static_cast<double>(measured.count());
+        static_cast<double>(fleet.routers()) * static_cast<double>(measuredTime.count());
     const std::uint64_t before = bytesSent(fleet);
-    const std::clock_t since = std::clock();
-    fleet.runFor(measured);
-    const double passed = static_cast<double>(std::clock() - since) * 1e6 / CLOCKS_PER_SEC;
-    report.add({"node core processor", sizes, passed / routerSeconds, "us/s"});
+    const std::clock_t start = std::clock();
+    fleet.runFor(measuredTime);
+    const double processorMicroseconds =
+        static_cast<double>(std::clock() - start) * 1e6 / CLOCKS_PER_SEC;
+    report.add({"node core processor", sizes, processorMicroseconds / routerSeconds, "us/s"});
     report.add({"node core traffic", sizes,
                 static_cast<double>(bytesSent(fleet) - before) / routerSeconds, "B/s"});
 }
@@ -60,7 +64,7 @@
     fleetShape.groups = {{Base::PoolId("model/writer"), routers * 5 / 2, {}}};
     VirtualFleet::Fleet fleet(fleetShape);
     fleet.setMessageSize(wireSize);
-    fleet.runFor(settling);
+    fleet.runFor(warmUp);
     measureRun(report, fleet, "idle " + sizeLabel("routers", routers));
 }
 
@@ -74,12 +78,12 @@
     Measure::Workload workload(scenario->workload, fleet.queue(), submitter);
     fleet.setListener(&workload);
     workload.start();
-    fleet.runFor(settling);
+    fleet.runFor(warmUp);
     const std::uint64_t before = workload.finishedRequests();
     measureRun(report, fleet, name);
     const auto finished = static_cast<double>(workload.finishedRequests() - before);
     report.add(
-        {"requests finished", name, finished / static_cast<double>(measured.count()), "1/s"});
+        {"requests finished", name, finished / static_cast<double>(measuredTime.count()), "1/s"});
     fleet.setListener(nullptr);
 }
 
