--- a/examples/embedding/main.cpp
+++ b/examples/embedding/main.cpp
@@ -1,5 +1,5 @@
-// A request through two node cores in one process, under a clock that this program moves.
-// docs/EMBEDDING.md explains it step by step.
+// Sends one request through two node cores in one process, under a clock that this program
+// advances. docs/EMBEDDING.md explains each step.
 
 #include "base/random.h"
 #include "node/node.h"
@@ -15,8 +15,8 @@
 
 using namespace std::chrono_literals;
 
-/// Everything one node reaches outside itself: it prints what callers get and keeps the rest
-/// for the loop below.
+/// Implements every interface through which a node reaches the outside. It prints the answers to
+/// callers, and keeps messages, backend requests and outcomes of the table for settle() and main().
 class Outside final : public Node::CallerPort,
                       public Node::PeerTransport,
                       public Node::BackendClient,
@@ -91,6 +91,7 @@
     std::map<std::string, Storage::TableRow> rows;
 };
 
+/// One node and what it needs.
 struct Router
 {
     Base::HostId host;
@@ -99,7 +100,7 @@
     std::unique_ptr<Node::Node> node;
 };
 
-/// The rows that an operator's configuration is kept in.
+/// Returns the table's rows of a configuration with one start target and one customer.
 std::map<std::string, Storage::TableRow> configurationRows()
 {
     std::map<std::string, Storage::TableRow> rows;
@@ -114,6 +115,7 @@
     return rows;
 }
 
+/// Returns the platform's list of hosts: two routers and one model server.
 Storage::HostListing listing()
 {
     Storage::HostListing hosts;
@@ -134,7 +136,7 @@
     return hosts;
 }
 
-/// Carries what the nodes left outside, until nothing is left.
+/// Delivers the messages between the nodes and the outcomes of the table until there are none left.
 void settle(std::vector<std::unique_ptr<Router>> &routers, Base::TimePoint now)
 {
     for (bool isBusy = true; isBusy;) {
@@ -195,7 +197,7 @@
     if (entry.outside.requests.empty())
         return 1;
 
-    // The backend server's side: one answer of one part.
+    // The backend server sends an answer of one part.
     const Node::AttemptId attempt = entry.outside.requests.front().attempt;
     entry.node->handle(Node::BackendHead{attempt, 200, "text/event-stream", {}}, now);
     entry.node->handle(Node::BackendPart{attempt, 0, "a red car", 12}, now);
