--- a/tools/virtualfleet/virtualrouter.cpp
+++ b/tools/virtualfleet/virtualrouter.cpp
@@ -121,7 +121,7 @@
         return;
     }
     if (std::holds_alternative<Node::CallerRequest>(event))
-        ++m_waiting;
+        ++m_openRequests;
     m_node->handle(event, m_fleet->queue().now());
 }
 
@@ -290,8 +290,8 @@
 
 void VirtualRouter::requestFinished(const Node::RequestRecord &)
 {
-    if (m_waiting > 0)
-        --m_waiting;
+    if (m_openRequests > 0)
+        --m_openRequests;
     if (m_transfers.size() < 4096)
         return;
     std::erase_if(m_transfers, [](const auto &entry) { return entry.second->isOver(); });
--- a/tools/virtualfleet/virtualrouter.h
+++ b/tools/virtualfleet/virtualrouter.h
@@ -53,7 +53,8 @@
     std::uint64_t bytesSent(Coordination::TrafficKind kind) const;
     std::uint64_t bytesSent() const;
     std::uint64_t messagesSent() const { return m_messages; }
-    std::size_t waiting() const { return m_waiting; }
+    /// Returns the number of callers' requests that reached the node and have not ended.
+    std::size_t openRequests() const { return m_openRequests; }
 
 private:
     class Transfer;
@@ -103,7 +104,7 @@
     std::vector<Node::Event> m_heldEvents;
     std::array<std::uint64_t, Coordination::trafficKindCount> m_bytes{};
     std::uint64_t m_messages = 0;
-    std::size_t m_waiting = 0;
+    std::size_t m_openRequests = 0;
     bool m_isFrozen = false;
 };
 
