--- a/tools/virtualfleet/fleet.h
+++ b/tools/virtualfleet/fleet.h
@@ -38,7 +38,7 @@
     Base::RandomSource &random() { return m_random; }
 
     std::size_t routers() const { return m_routers.size(); }
-    /// Null while the router is down.
+    /// Returns the router with \a index, or null while it is down.
     VirtualRouter *router(std::size_t index) { return m_routers[index].get(); }
     /// Returns null if no running router has the name \a host.
     VirtualRouter *routerByName(const Base::HostId &host);
--- a/tools/virtualfleet/fleetshape.h
+++ b/tools/virtualfleet/fleetshape.h
@@ -32,7 +32,7 @@
     Base::Duration latency = std::chrono::microseconds(500);
     /// Latency of one way between a router and the platform's table.
     Base::Duration tableLatency = std::chrono::milliseconds(4);
-    /// Age of a server's load report when it arrives.
+    /// Age of a server's load report when it arrives at a router.
     Base::Duration loadReportLag = std::chrono::milliseconds(400);
     /// Time between two lists of hosts that the platform sends to the routers.
     Base::Duration hostListInterval = std::chrono::seconds(2);
