--- a/tools/virtualfleet/fleet.cpp
+++ b/tools/virtualfleet/fleet.cpp
@@ -64,18 +64,18 @@
     m_routers[index]->handle(Node::HostListArrived{listing()});
 }
 
-void Fleet::setCut(std::size_t a, std::size_t b, bool isCut)
+void Fleet::setCut(std::size_t a, std::size_t b, bool isPartitioned)
 {
     const std::pair<std::size_t, std::size_t> pair = std::minmax(a, b);
-    if (isCut)
-        m_cuts.insert(pair);
+    if (isPartitioned)
+        m_partitions.insert(pair);
     else
-        m_cuts.erase(pair);
+        m_partitions.erase(pair);
 }
 
-bool Fleet::isCut(std::size_t a, std::size_t b) const
+bool Fleet::isPartitioned(std::size_t a, std::size_t b) const
 {
-    return m_cuts.count(std::minmax(a, b)) > 0;
+    return m_partitions.count(std::minmax(a, b)) > 0;
 }
 
 ModelServer *Fleet::server(const Base::ServerId &id)
@@ -87,35 +87,35 @@
 void Fleet::setServerDead(const Base::ServerId &id, bool isDead)
 {
     if (!isDead) {
-        m_dead.erase(id);
+        m_deadServers.erase(id);
         return;
     }
-    m_dead.insert(id);
-    cutTransfers(id, true);
+    m_deadServers.insert(id);
+    breakTransfers(id, true);
 }
 
 void Fleet::cutStreams(const Base::ServerId &id)
 {
-    cutTransfers(id, false);
+    breakTransfers(id, false);
 }
 
-void Fleet::cutTransfers(const Base::ServerId &id, bool isWorkLost)
+void Fleet::breakTransfers(const Base::ServerId &id, bool isWorkLost)
 {
     for (const std::unique_ptr<VirtualRouter> &router : m_routers) {
         if (router)
-            router->cutTransfers(id, isWorkLost);
+            router->breakTransfers(id, isWorkLost);
     }
 }
 
-bool Fleet::draw(double share)
+bool Fleet::drawChance(double share)
 {
-    constexpr std::uint64_t steps = 1000000;
-    return share > 0 && static_cast<double>(m_random.next() % steps) < share * steps;
+    constexpr std::uint64_t resolution = 1000000;
+    return share > 0 && static_cast<double>(m_random.next() % resolution) < share * resolution;
 }
 
 void Fleet::markLeaving(const std::string &host)
 {
-    m_leaving.insert(host);
+    m_leavingHosts.insert(host);
     ++m_listingVersion;
 }
 
@@ -134,8 +134,8 @@
 {
     std::vector<Storage::TableWrite> writes;
     Settings::ConfigurationVersion version = 0;
-    const auto add = [&](const auto &what) {
-        const Settings::ConfigurationChange change{++version, what};
+    const auto add = [&](const auto &setting) {
+        const Settings::ConfigurationChange change{++version, setting};
         writes.push_back({Settings::changeKey(version), Settings::encodeChange(change), 0});
     };
     for (const Settings::ClassTarget &target : m_shape.targets)
@@ -162,7 +162,7 @@
     Storage::HostListing listing;
     listing.version = m_listingVersion;
     const auto stateOf = [&](const std::string &name) {
-        return m_leaving.count(name) > 0 ? HostState::Leaving : HostState::Live;
+        return m_leavingHosts.count(name) > 0 ? HostState::Leaving : HostState::Live;
     };
     for (std::size_t i = 0; i < m_shape.routers; ++i) {
         const std::string name = routerName(i).value();
@@ -177,9 +177,9 @@
                                  false,
                                  m_incarnations[i]});
     }
-    std::size_t n = 0;
+    std::size_t serverIndex = 0;
     for (const auto &[id, pool] : m_poolOfServer) {
-        const Base::ZoneId zone("z" + std::to_string(n++ % m_shape.zones));
+        const Base::ZoneId zone("z" + std::to_string(serverIndex++ % m_shape.zones));
         listing.hosts.push_back({id.value(),
                                  Storage::HostRole::ModelServer,
                                  stateOf(id.value()),
--- a/tools/virtualfleet/virtualrouter.cpp
+++ b/tools/virtualfleet/virtualrouter.cpp
@@ -7,7 +7,8 @@
 
 namespace VirtualFleet {
 
-/// One exchange with a model server: events travel back with the network's latency.
+/// One exchange with a model server. It turns the server's answer into events, which reach the node
+/// after the network's latency.
 class VirtualRouter::Transfer final : public AnswerSink
 {
 public:
@@ -17,23 +18,23 @@
         , m_server(request.server)
     {}
 
-    void begun() override
+    void started() override
     {
-        tell(Node::BackendHead{m_attempt, 200, "text/event-stream", std::to_string(m_token)});
+        sendToNode(Node::BackendHead{m_attempt, 200, "text/event-stream", std::to_string(m_token)});
     }
     void part(std::uint64_t index, const std::string &payload, Base::ServiceUnits units) override
     {
-        tell(Node::BackendPart{m_attempt, index, payload, units});
+        sendToNode(Node::BackendPart{m_attempt, index, payload, units});
     }
     void finished(std::uint64_t parts) override
     {
         m_isOver = true;
-        tell(Node::BackendFinished{m_attempt, parts});
+        sendToNode(Node::BackendFinished{m_attempt, parts});
     }
     void failed(Node::SendState sent, int status)
     {
         m_isOver = true;
-        tell(Node::BackendFailed{m_attempt, sent, status, std::nullopt});
+        sendToNode(Node::BackendFailed{m_attempt, sent, status, std::nullopt});
     }
     void setToken(ModelServer::Token token) { m_token = token; }
     ModelServer::Token token() const { return m_token; }
@@ -41,14 +42,14 @@
     bool isOver() const { return m_isOver; }
 
 private:
-    void tell(const Node::Event &event)
+    void sendToNode(const Node::Event &event)
     {
         VirtualRouter *router = m_router;
         const FleetShape &shape = router->m_fleet->shape();
         const auto deliver = [router, event] { router->handle(event); };
-        router->later(shape.latency, deliver);
-        if (router->m_fleet->draw(shape.doubleShare))
-            router->later(shape.latency + shape.doubleDelay, deliver);
+        router->runAfter(shape.latency, deliver);
+        if (router->m_fleet->drawChance(shape.duplicateShare))
+            router->runAfter(shape.latency + shape.duplicateDelay, deliver);
     }
 
     VirtualRouter *m_router;
@@ -80,7 +81,7 @@
 VirtualRouter::~VirtualRouter()
 {
     *m_isAlive = false;
-    // The connections of a process that ends are closed, and the engine drops the work.
+    // A process that ends closes its connections, and the engine then cancels their work.
     for (const auto &[attempt, transfer] : m_transfers) {
         ModelServer *server = m_fleet->server(transfer->server());
         if (!transfer->isOver() && server)
@@ -105,7 +106,7 @@
     });
 }
 
-void VirtualRouter::later(Base::Duration delay, std::function<void()> action)
+void VirtualRouter::runAfter(Base::Duration delay, std::function<void()> action)
 {
     m_fleet->queue().after(delay, [alive = m_isAlive, action = std::move(action)] {
         if (*alive)
@@ -116,11 +117,11 @@
 void VirtualRouter::handle(const Node::Event &event)
 {
     if (m_isFrozen) {
-        m_held.push_back(event);
+        m_heldEvents.push_back(event);
         return;
     }
     if (std::holds_alternative<Node::CallerRequest>(event))
-        ++m_waiting;
+        ++m_openRequests;
     m_node->handle(event, m_fleet->queue().now());
 }
 
@@ -129,11 +130,11 @@
     m_isFrozen = isFrozen;
     if (isFrozen)
         return;
-    for (const Node::Event &event : std::exchange(m_held, {}))
+    for (const Node::Event &event : std::exchange(m_heldEvents, {}))
         handle(event);
 }
 
-void VirtualRouter::cutTransfers(const Base::ServerId &id, bool isWorkLost)
+void VirtualRouter::breakTransfers(const Base::ServerId &id, bool isWorkLost)
 {
     ModelServer *server = m_fleet->server(id);
     for (const auto &[attempt, transfer] : m_transfers) {
@@ -192,11 +193,12 @@
     ++m_messages;
     Fleet *fleet = m_fleet;
     VirtualRouter *target = fleet->routerByName(to);
-    if (fleet->draw(fleet->shape().lossShare))
+    if (fleet->drawChance(fleet->shape().lossShare))
         return;
     if (!target) {
-        // The host is up but the process is not: the connection is refused.
-        later(fleet->shape().latency * 2, [this, to] { handle(Node::PeerUnreachable{to}); });
+        // The host runs but the router's process does not, so the connection is refused. The sender
+        // hears of that after a round trip.
+        runAfter(fleet->shape().latency * 2, [this, to] { handle(Node::PeerUnreachable{to}); });
         return;
     }
     const std::size_t from = m_index;
@@ -204,14 +206,14 @@
     const Base::Incarnation incarnation = m_incarnation;
     const auto deliver = [fleet, from, index, incarnation, message] {
         VirtualRouter *receiver = fleet->router(index);
-        if (!receiver || fleet->isCut(from, index))
+        if (!receiver || fleet->isPartitioned(from, index))
             return;
         receiver->handle(Node::PeerMessageArrived{routerName(from), incarnation, message});
     };
     const FleetShape &shape = fleet->shape();
     fleet->queue().after(shape.latency, deliver);
-    if (fleet->draw(shape.doubleShare))
-        fleet->queue().after(shape.latency + shape.doubleDelay, deliver);
+    if (fleet->drawChance(shape.duplicateShare))
+        fleet->queue().after(shape.latency + shape.duplicateDelay, deliver);
 }
 
 void VirtualRouter::send(const Node::BackendRequest &request)
@@ -222,7 +224,7 @@
         transfer->failed(Node::SendState::NeverSent, 0);
         return;
     }
-    later(m_fleet->shape().latency, [this, transfer, request] {
+    runAfter(m_fleet->shape().latency, [this, transfer, request] {
         ModelServer *server = m_fleet->server(request.server);
         if (!server || m_transfers.count(request.attempt) == 0)
             return;
@@ -267,19 +269,19 @@
     Node::BackendLoad load{id, isReachable, {}};
     if (isReachable)
         load.report = {server->running(), server->queued()};
-    later(m_fleet->shape().loadReportLag, [this, load] { handle(load); });
+    runAfter(m_fleet->shape().loadReportLag, [this, load] { handle(load); });
 }
 
 void VirtualRouter::put(Storage::OperationId operation, const std::string &, const std::string &)
 {
-    later(m_fleet->shape().tableLatency, [this, operation] {
+    runAfter(m_fleet->shape().tableLatency, [this, operation] {
         handle(Storage::ObjectOutcome{operation, Storage::ObjectStatus::NotDone, {}});
     });
 }
 
 void VirtualRouter::get(Storage::OperationId operation, const std::string &)
 {
-    later(m_fleet->shape().tableLatency, [this, operation] {
+    runAfter(m_fleet->shape().tableLatency, [this, operation] {
         handle(Storage::ObjectOutcome{operation, Storage::ObjectStatus::Missing, {}});
     });
 }
@@ -288,8 +290,8 @@
 
 void VirtualRouter::requestFinished(const Node::RequestRecord &)
 {
-    if (m_waiting > 0)
-        --m_waiting;
+    if (m_openRequests > 0)
+        --m_openRequests;
     if (m_transfers.size() < 4096)
         return;
     std::erase_if(m_transfers, [](const auto &entry) { return entry.second->isOver(); });
