--- a/src/libs/storage/circuitbreaker.cpp
+++ b/src/libs/storage/circuitbreaker.cpp
@@ -7,14 +7,14 @@
 CircuitBreaker::CircuitBreaker(const CircuitBreakerPolicy &policy, Base::RandomSource &random)
     : m_policy(policy)
     , m_random(&random)
-    , m_pause(policy.firstPause)
+    , m_pause(policy.initialPause)
 {}
 
 void CircuitBreaker::recordSuccess()
 {
     m_state = State::Closed;
     m_failures = 0;
-    m_pause = m_policy.firstPause;
+    m_pause = m_policy.initialPause;
 }
 
 void CircuitBreaker::recordFailure(Base::TimePoint now)
@@ -22,7 +22,7 @@
     if (m_state == State::Open)
         return;
     if (m_state == State::HalfOpen) {
-        m_pause = std::min(2 * m_pause, m_policy.longestPause);
+        m_pause = std::min(2 * m_pause, m_policy.maxPause);
         open(now);
         return;
     }
@@ -32,7 +32,8 @@
 
 void CircuitBreaker::open(Base::TimePoint now)
 {
-    // Up to half as long again, so that the fleet does not come back in one instant.
+    // Random jitter of up to half the pause keeps the hosts of the fleet from sending their
+    // trials at the same moment.
     const std::uint64_t spread = static_cast<std::uint64_t>((m_pause / 2).count()) + 1;
     m_state = State::Open;
     m_failures = 0;
--- a/src/libs/storage/circuitbreaker.h
+++ b/src/libs/storage/circuitbreaker.h
@@ -9,33 +9,36 @@
 
 struct CircuitBreakerPolicy
 {
-    /// Consecutive failures that open the breaker. One lost answer in a hundred, which is a
-    /// bad day of a healthy service, gives five in a row once in 10^10 calls.
+    /// Consecutive failures that open the breaker. If a healthy service loses one answer in a
+    /// hundred, five consecutive failures occur once in 10^10 calls.
     std::uint32_t failuresToOpen = 5;
-    /// Time from opening to the first trial; doubles with each failed trial.
-    Base::Duration firstPause = std::chrono::milliseconds(500);
-    /// Bounds what is lost after the service is back.
-    Base::Duration longestPause = std::chrono::seconds(8);
+    /// Time from opening to the first trial call; doubles with each failed trial.
+    Base::Duration initialPause = std::chrono::milliseconds(500);
+    /// Upper bound of the doubled pause, which limits how long calls are still rejected after the
+    /// service has recovered.
+    Base::Duration maxPause = std::chrono::seconds(8);
 };
 
-/// Stops calls of a service that is down, and tries now and then whether it is back.
+/// Stops calls to a service that is down and sends single trial calls until it answers again.
 ///
-/// Answers the load pattern of an outage: without it every call waits for its whole timeout,
-/// calls pile up at the callers, and the service meets them all at once when it returns.
+/// Without a breaker every call during an outage waits for its whole timeout, calls pile up at
+/// the callers, and the service receives them all at once when it recovers.
 class CircuitBreaker
 {
 public:
     CircuitBreaker(const CircuitBreakerPolicy &policy, Base::RandomSource &random);
 
     bool isClosed() const { return m_state == State::Closed; }
-    /// One call may go as a trial.
+    /// Returns whether the breaker is open and one call may be sent as a trial.
     bool isTrialDue(Base::TimePoint now) const
     {
         return m_state == State::Open && now >= m_trialAt;
     }
     bool isOpen() const { return m_state == State::Open; }
+    /// Returns the earliest time of the next trial; valid while the breaker is open.
     Base::TimePoint trialAt() const { return m_trialAt; }
 
+    /// Half-opens the breaker; the next recorded success or failure is that of the trial.
     void beginTrial() { m_state = State::HalfOpen; }
     void recordSuccess();
     void recordFailure(Base::TimePoint now);
@@ -48,6 +51,7 @@
     CircuitBreakerPolicy m_policy;
     Base::RandomSource *m_random;
     State m_state = State::Closed;
+    /// Consecutive failures while the breaker is closed.
     std::uint32_t m_failures = 0;
     Base::Duration m_pause;
     Base::TimePoint m_trialAt{};
