--- a/src/libs/storage/ratelimiter.h
+++ b/src/libs/storage/ratelimiter.h
@@ -6,32 +6,33 @@
 
 namespace Storage {
 
-/// Spaces calls to a rate and lets a burst through (generic cell rate algorithm).
+/// Limits the rate of calls and allows bursts (generic cell rate algorithm).
 ///
-/// Answers the load pattern of many daemons before one table: each keeps to its share, so the
-/// fleet's sum stays within what the table bears. Without it a surge at the callers becomes
-/// refusals at the table for everybody, the configuration's readers included.
+/// Many routers share one table. Each limits itself to its share, so that the sum over the fleet
+/// stays within the table's capacity. Without the limit a surge of requests makes the table
+/// refuse calls of every client, including those that read the configuration.
 class RateLimiter
 {
 public:
-    /// \a burst calls may leave at once after a pause; at least 1.
+    /// \a perSecond is the rate in calls per second. Up to \a burst calls, at least 1, may be sent
+    /// back to back after an idle period.
     RateLimiter(double perSecond, int burst)
         : m_burst(std::max(burst, 1))
     {
         setRate(perSecond);
     }
 
-    /// In calls a second; anything below smallestRate is taken as that.
+    /// Sets the rate in calls per second; a value below minRate counts as minRate.
     void setRate(double perSecond)
     {
-        const std::chrono::duration<double> interval(1.0 / std::max(perSecond, smallestRate));
+        const std::chrono::duration<double> interval(1.0 / std::max(perSecond, minRate));
         m_interval = std::chrono::duration_cast<Base::Duration>(interval);
     }
 
-    /// The earliest time of the next call.
+    /// Returns the earliest time at which the next call may be sent.
     Base::TimePoint nextAt() const { return m_fullAt - (m_burst - 1) * m_interval; }
 
-    /// Whether a call may leave at \a now; it is then counted.
+    /// Returns whether a call may be sent at \a now, and counts it if so.
     bool tryTake(Base::TimePoint now)
     {
         if (now < nextAt())
@@ -41,11 +42,12 @@
     }
 
 private:
-    static constexpr double smallestRate = 0.01;
+    /// Calls per second; keeps the interval finite.
+    static constexpr double minRate = 0.01;
 
     int m_burst = 1;
     Base::Duration m_interval{};
-    /// When the whole burst is there again.
+    /// Time at which the whole burst is available again.
     Base::TimePoint m_fullAt{};
 };
 
