--- a/src/libs/storage/tableservice.h
+++ b/src/libs/storage/tableservice.h
@@ -10,12 +10,12 @@
 
 namespace Storage {
 
-/// Names one call of the platform in flight; unique within one start of a process.
+/// Identifies one call to the platform; unique within one start of a process.
 using OperationId = std::uint64_t;
-/// A row's version as the table service numbers it; every write makes it larger.
+/// Version of a row, assigned by the table service; every write increases it.
 using RowVersion = std::uint64_t;
 
-/// Expected version of a row that must not exist yet.
+/// Expected version that requires that the row does not exist.
 inline constexpr RowVersion absentRow = 0;
 
 struct TableRow
@@ -25,45 +25,51 @@
     RowVersion version = 0;
 };
 
-/// One write of a transaction. All writes of a transaction take effect, or none.
+/// One write of a transaction. Either all writes of a transaction take effect or none does.
 struct TableWrite
 {
     std::string key;
-    /// Empty deletes the row.
+    /// New value of the row; empty deletes the row.
     std::optional<std::string> value;
-    /// Empty writes whatever the version is; absentRow demands that there is no row.
+    /// Version that the row must have. Empty writes unconditionally; absentRow requires that there
+    /// is no row.
     std::optional<RowVersion> expected;
 };
 
 enum class TableStatus {
-    Done,     ///< The service answered; for a transaction: it was committed.
-    Conflict, ///< The service answered: a version did not match, nothing was written.
-    NotDone,  ///< It is known that nothing was written (never sent, refused, breaker open).
-    Unknown,  ///< No answer; a write may have taken effect.
+    Done,     ///< The service answered; a transaction was committed.
+    Conflict, ///< The service answered that a version did not match; nothing was written.
+    NotDone,  ///< The call is known to have had no effect (never sent, refused, breaker open).
+    Unknown,  ///< There was no answer; a write may have taken effect.
 };
 
-/// The answer to one call, or the knowledge that there is none.
+/// The result of one call, with or without an answer of the service.
 struct TableOutcome
 {
     OperationId operation = 0;
     TableStatus status = TableStatus::Unknown;
-    /// Rows read; after a committed transaction the rows written, with their versions.
+    /// The rows that were read or, after a committed transaction, the rows that were written, with
+    /// their new versions.
     std::vector<TableRow> rows;
 };
 
-/// The platform's transactional table. Calls return at once; each is followed by exactly one
-/// TableOutcome event with its operation id.
+/// The platform's transactional table. Calls are asynchronous: each returns at once and is followed
+/// by exactly one TableOutcome event with its operation id.
 class TableService
 {
 public:
     virtual ~TableService() = default;
 
+    /// Reads the row \a key.
     virtual void read(OperationId operation, const std::string &key) = 0;
-    /// Rows with \a prefix whose key is greater than \a after, in key order, at most \a limit.
+    /// Reads the rows whose key begins with \a prefix and is greater than \a after, in key order,
+    /// at most \a limit rows.
     virtual void scan(OperationId operation, const std::string &prefix, const std::string &after,
                       std::size_t limit) = 0;
+    /// Commits all \a writes, or none if an expected version does not match.
     virtual void transact(OperationId operation, const std::vector<TableWrite> &writes) = 0;
-    /// Before it, a write would only wait here: a caller that gathers rows goes on gathering.
+    /// Returns the time before which a write would only be queued. A caller that batches writes can
+    /// keep adding to the batch until then.
     virtual Base::TimePoint nextWriteAt() const { return Base::TimePoint::min(); }
 };
 
