--- a/src/libs/storage/hostlist.h
+++ b/src/libs/storage/hostlist.h
@@ -11,28 +11,29 @@
 enum class HostRole { Router, ModelServer, ApplicationServer };
 enum class HostState { Live, Leaving };
 
-/// One line of the platform's list of hosts. The list lags behind the truth.
+/// One entry of the platform's list of hosts. The list lags behind the actual state.
 struct ListedHost
 {
     std::string name;
     HostRole role = HostRole::Router;
     HostState state = HostState::Live;
     Base::ZoneId zone;
-    /// "IP:PORT" that a backend server serves on, or that peers of a router reach it on.
+    /// "IP:PORT" at which a backend server serves, or at which other routers reach a router.
     std::string address;
-    /// Of a router: "IP:PORT" for callers.
+    /// "IP:PORT" at which a router serves callers; empty for a backend server.
     std::string callerAddress;
     /// Pools that a backend server belongs to.
     std::vector<Base::PoolId> pools;
-    /// Whether a backend server refuses an order or a call with an old fencing number.
+    /// Whether a backend server refuses an order or a call with an outdated fencing number.
     bool isCheckingFences = false;
-    /// Grows with each start of the host.
+    /// Increases with each start of the host.
     Base::Incarnation incarnation = 0;
 };
 
+/// The platform's list of hosts at one version.
 struct HostListing
 {
-    /// Grows with each change of the list.
+    /// Increases with each change of the list.
     std::uint64_t version = 0;
     std::vector<ListedHost> hosts;
 };
--- a/src/libs/storage/operationids.h
+++ b/src/libs/storage/operationids.h
@@ -4,7 +4,8 @@
 
 namespace Storage {
 
-/// Gives out operation ids to all parts of one node that call the platform.
+/// Generates operation ids, starting at 1. All parts of one node that call the platform share one
+/// generator; each gateway has another one for the attempts that it sends.
 class OperationIds
 {
 public:
