--- a/src/libs/storage/calllane.cpp
+++ b/src/libs/storage/calllane.cpp
@@ -6,65 +6,67 @@
 
 namespace {
 
-constexpr double unlimitedRate = 1e6;
+/// Rate until setRate() is called, in calls per second.
+constexpr double initialRate = 1e6;
 
 } // namespace
 
-bool isUsable(const LanePolicy &policy)
+bool isUsable(const CallQueuePolicy &policy)
 {
-    return policy.largestAttempts > 0 && policy.largestInFlight > 0 && policy.largestWaiting > 0
+    return policy.maxAttempts > 0 && policy.maxInFlight > 0 && policy.maxWaiting > 0
            && policy.callTimeout > Base::Duration::zero()
-           && policy.longestWait > Base::Duration::zero();
+           && policy.maxWait > Base::Duration::zero();
 }
 
-CallLane::CallLane(CallKind kind, const LanePolicy &policy, OperationIds &attempts,
-                   Base::RandomSource &random)
+CallQueue::CallQueue(CallKind kind, const CallQueuePolicy &policy, OperationIds &attempts,
+                     Base::RandomSource &random)
     : m_kind(kind)
     , m_policy(policy)
     , m_ids(&attempts)
     , m_breaker(policy.breaker, random)
-    , m_rate(unlimitedRate, policy.burst)
+    , m_rate(initialRate, policy.burst)
 {}
 
-void CallLane::advance(Base::TimePoint now, bool mayTry)
+void CallQueue::advance(Base::TimePoint now, bool allowTrial)
 {
     expire(now);
-    takeArrived(now);
-    wakeDelayed(now);
+    admitArrived(now);
+    requeueDelayed(now);
     if (m_breaker.isClosed()) {
-        send(now, m_policy.largestInFlight);
+        send(now, m_policy.maxInFlight);
         return;
     }
-    if (mayTry && m_breaker.isTrialDue(now) && !m_waiting.empty()) {
-        // The rate may hold it back: then there is no trial to wait for.
+    if (allowTrial && m_breaker.isTrialDue(now) && !m_waiting.empty()) {
+        // The rate limit may hold the call back; the breaker must not wait for an unsent trial.
         const std::size_t before = m_inFlight.size();
         send(now, before + 1);
         if (m_inFlight.size() > before)
             m_breaker.beginTrial();
     }
-    refuseWaiting();
+    failWaiting();
 }
 
-std::optional<OperationId> CallLane::finishAttempt(OperationId attempt, AttemptEnd end,
-                                                   Base::TimePoint now)
+std::optional<OperationId> CallQueue::finishAttempt(OperationId attempt, AttemptResult result,
+                                                    Base::TimePoint now)
 {
-    // An answer after the timeout, or a second one: the call has ended or goes on under
-    // another attempt. Taken for an answer, it would end a call twice or end the wrong one.
+    // The attempt of a late or duplicate answer is no longer in flight: its call has ended or
+    // continues with another attempt. Accepting the answer would end a call twice or end the
+    // wrong one.
     const auto it = m_inFlight.find(attempt);
     if (it == m_inFlight.end())
         return std::nullopt;
     const Call call = it->second.call;
     m_inFlight.erase(it);
-    if (end == AttemptEnd::Answered) {
+    if (result == AttemptResult::Answered) {
         m_breaker.recordSuccess();
         return call.id;
     }
     m_breaker.recordFailure(now);
-    fail(call, end == AttemptEnd::Unknown, now);
+    handleFailedAttempt(call, result == AttemptResult::Unknown, now);
     return std::nullopt;
 }
 
-Base::TimePoint CallLane::nextDue() const
+Base::TimePoint CallQueue::nextDue() const
 {
     if (!m_arrived.empty())
         return Base::TimePoint::min();
@@ -76,45 +78,45 @@
     if (m_waiting.empty())
         return due;
     due = std::min(due, m_waiting.begin()->second.deadline);
-    if (m_inFlight.size() < m_policy.largestInFlight)
+    if (m_inFlight.size() < m_policy.maxInFlight)
         due = std::min(due, m_rate.nextAt());
     return due;
 }
 
-Base::TimePoint CallLane::readyAt() const
+Base::TimePoint CallQueue::readyAt() const
 {
     if (!m_breaker.isClosed())
         return Base::TimePoint::min();
     return m_waiting.empty() ? m_rate.nextAt() : m_waiting.rbegin()->second.deadline;
 }
 
-void CallLane::takeArrived(Base::TimePoint now)
+void CallQueue::admitArrived(Base::TimePoint now)
 {
     for (const OperationId id : std::exchange(m_arrived, {})) {
-        if (waiting() >= m_policy.largestWaiting) {
-            end(id, false);
+        if (waiting() >= m_policy.maxWaiting) {
+            failCall(id, false);
             continue;
         }
-        const Base::TimePoint deadline = now + m_policy.longestWait;
+        const Base::TimePoint deadline = now + m_policy.maxWait;
         m_waiting[{deadline, id}] = {id, deadline, 0};
     }
 }
 
-void CallLane::expire(Base::TimePoint now)
+void CallQueue::expire(Base::TimePoint now)
 {
     while (!m_inFlight.empty() && m_inFlight.begin()->second.timeoutAt <= now) {
         const Call call = m_inFlight.begin()->second.call;
         m_inFlight.erase(m_inFlight.begin());
         m_breaker.recordFailure(now);
-        fail(call, true, now);
+        handleFailedAttempt(call, true, now);
     }
     while (!m_waiting.empty() && m_waiting.begin()->second.deadline <= now) {
-        end(m_waiting.begin()->second.id, false);
+        failCall(m_waiting.begin()->second.id, false);
         m_waiting.erase(m_waiting.begin());
     }
 }
 
-void CallLane::wakeDelayed(Base::TimePoint now)
+void CallQueue::requeueDelayed(Base::TimePoint now)
 {
     while (!m_delayed.empty() && m_delayed.begin()->first <= now) {
         const Call call = m_delayed.begin()->second;
@@ -123,15 +125,15 @@
     }
 }
 
-void CallLane::refuseWaiting()
+void CallQueue::failWaiting()
 {
     for (const auto &[key, call] : std::exchange(m_waiting, {}))
-        end(call.id, false);
+        failCall(call.id, false);
     for (const auto &[at, call] : std::exchange(m_delayed, {}))
-        end(call.id, false);
+        failCall(call.id, false);
 }
 
-void CallLane::send(Base::TimePoint now, std::size_t limit)
+void CallQueue::send(Base::TimePoint now, std::size_t limit)
 {
     while (!m_waiting.empty() && m_inFlight.size() < limit && m_rate.tryTake(now)) {
         Call call = m_waiting.begin()->second;
@@ -143,15 +145,15 @@
     }
 }
 
-void CallLane::fail(const Call &call, bool mayHaveEffect, Base::TimePoint now)
+void CallQueue::handleFailedAttempt(const Call &call, bool mayHaveEffect, Base::TimePoint now)
 {
-    // A write that is out may still arrive after its timeout: sent again, it could take effect
-    // twice or meet its own first attempt as a conflict. Its caller has to be told Unknown.
-    const bool isUnsafe = mayHaveEffect && m_kind == CallKind::Write;
+    // An unanswered write may still reach the service after its timeout. If it were retried, it
+    // could take effect twice or conflict with its own first attempt, so its caller gets Unknown.
+    const bool hasUnknownEffect = mayHaveEffect && m_kind == CallKind::Write;
     const Base::Duration delay = m_policy.retryDelay * (1 << std::min(call.attempts - 1, 10U));
     const Base::TimePoint retryAt = now + delay;
-    if (isUnsafe || call.attempts >= m_policy.largestAttempts || retryAt >= call.deadline) {
-        end(call.id, isUnsafe);
+    if (hasUnknownEffect || call.attempts >= m_policy.maxAttempts || retryAt >= call.deadline) {
+        failCall(call.id, hasUnknownEffect);
         return;
     }
     m_delayed.emplace(retryAt, call);
--- a/src/libs/storage/calllane.h
+++ b/src/libs/storage/calllane.h
@@ -16,85 +16,97 @@
 
 namespace Storage {
 
-/// Bounds of one kind of call. docs/design/platform-clients.md gives the reasons.
-struct LanePolicy
+/// Limits of one kind of call. docs/design/platform-clients.md derives the defaults.
+struct CallQueuePolicy
 {
-    /// Time for one attempt.
+    /// Timeout of one attempt.
     Base::Duration callTimeout = std::chrono::milliseconds(800);
-    /// From a call's arrival until it must have left for the last time.
-    Base::Duration longestWait = std::chrono::milliseconds(2000);
-    /// Attempts at one call, the first included.
-    std::uint32_t largestAttempts = 3;
-    /// Before the second attempt; doubles with each.
+    /// Time from a call's arrival after which no further attempt is sent.
+    Base::Duration maxWait = std::chrono::milliseconds(2000);
+    /// Attempts per call, including the first.
+    std::uint32_t maxAttempts = 3;
+    /// Delay before the second attempt; doubles with each further attempt.
     Base::Duration retryDelay = std::chrono::milliseconds(50);
-    std::size_t largestInFlight = 32;
-    std::size_t largestWaiting = 512;
-    /// Calls that may leave at once after a pause.
+    /// Attempts in flight at once.
+    std::size_t maxInFlight = 32;
+    /// Calls queued or waiting for a retry; further calls fail at once.
+    std::size_t maxWaiting = 512;
+    /// Calls that may be sent back to back after an idle period.
     int burst = 4;
     CircuitBreakerPolicy breaker;
 };
 
-/// Whether a call can pass under \a policy.
-bool isUsable(const LanePolicy &policy);
+/// Returns whether \a policy lets any call through: its attempts, sizes, timeout and wait are above
+/// 0.
+bool isUsable(const CallQueuePolicy &policy);
 
+/// Decides whether a call is retried after a lost answer.
 enum class CallKind {
-    Read, ///< Changes nothing: may be tried again after a lost answer.
-    Write,
+    Read,  ///< Has no effect, so it can be retried after a lost answer.
+    Write, ///< May have had its effect if the answer was lost, so it is not retried then.
 };
 
-/// How one attempt ended below.
-enum class AttemptEnd {
-    Answered, ///< The service said what came of it.
-    NotDone,  ///< Certainly without effect.
-    Unknown,  ///< No answer.
+/// The result of one attempt, as the service or its client reports it.
+enum class AttemptResult {
+    Answered, ///< The service answered.
+    NotDone,  ///< The attempt is known to have had no effect.
+    Unknown,  ///< There was no answer; the attempt may have had its effect.
 };
 
-/// One kind of call to a service of the platform: what waits, what is on its way, what is
-/// tried again, and when it ends. Knows ids only; a gateway knows what the calls say.
+/// Queues, sends, retries and times out calls of one kind to a service of the platform.
+/// It handles call ids only; the gateway that owns it keeps the contents of the calls.
 ///
-/// Load patterns answered: a slow service (timeouts and the bound on calls in flight keep the
-/// memory and the wait bounded), an outage (circuit breaker), a surge (rate and bounded
-/// queue: what can't leave in time ends as NotDone, which is true since it never left).
-class CallLane
+/// It protects against three load patterns. If the service is slow, timeouts and the limit on
+/// calls in flight bound the memory and the wait. During an outage, a circuit breaker rejects
+/// calls. During a surge, the rate limit and the bounded queue reject what cannot be sent in
+/// time; such a call fails without effect, because it was never sent.
+class CallQueue
 {
 public:
-    /// An attempt that has to be sent below.
+    /// An attempt that the gateway has to send to the service.
     struct Attempt
     {
         OperationId call = 0;
         OperationId attempt = 0;
     };
 
-    /// A call that ends without the service's answer.
-    struct End
+    /// A call that ended without an answer of the service.
+    struct FailedCall
     {
         OperationId call = 0;
-        /// A write that left and was not answered. Never false for one that may take effect.
+        /// Whether the call may have had, or may still have, an effect: true for a write that was
+        /// sent and not answered.
         bool mayHaveEffect = false;
     };
 
-    CallLane(CallKind kind, const LanePolicy &policy, OperationIds &attempts,
-             Base::RandomSource &random);
+    CallQueue(CallKind kind, const CallQueuePolicy &policy, OperationIds &attempts,
+              Base::RandomSource &random);
 
-    /// Takes a call in; it leaves or ends with the next advance().
+    /// Adds a call, which the next advance() sends, queues or fails.
     void add(OperationId call) { m_arrived.push_back(call); }
+    /// Sets the rate limit, in calls per second.
     void setRate(double perSecond) { m_rate.setRate(perSecond); }
-    /// \a mayTry: whether a trial may leave while the breaker is open.
-    void advance(Base::TimePoint now, bool mayTry);
-    /// The call whose answer this is. Empty: late, doubled, or the call goes on or has ended
-    /// otherwise (see takeEnds()).
-    std::optional<OperationId> finishAttempt(OperationId attempt, AttemptEnd end,
+    /// Times out, retries and sends calls that are due at \a now. \a allowTrial tells whether a
+    /// trial call may be sent while the breaker is open.
+    void advance(Base::TimePoint now, bool allowTrial);
+    /// Records the \a result of an attempt and returns the call that it answers. Returns nothing
+    /// if the answer is late or a duplicate, or if the attempt failed: the call is then retried or
+    /// is among takeFailedCalls().
+    std::optional<OperationId> finishAttempt(OperationId attempt, AttemptResult result,
                                              Base::TimePoint now);
 
     std::vector<Attempt> takeAttempts() { return std::exchange(m_attempts, {}); }
-    std::vector<End> takeEnds() { return std::exchange(m_ends, {}); }
+    std::vector<FailedCall> takeFailedCalls() { return std::exchange(m_failedCalls, {}); }
+    /// Returns the earliest time at which advance() has something to do.
     Base::TimePoint nextDue() const;
-    /// When a call added then would leave at once. With the breaker open: now, to be refused.
+    /// Returns the time from which a new call would be sent at once. While calls are queued, this
+    /// is the deadline of the last one, when the queue is empty at the latest. While the breaker is
+    /// not closed this is TimePoint::min(), since a new call is rejected without delay.
     Base::TimePoint readyAt() const;
 
-    bool isClosed() const { return m_breaker.isClosed(); }
-    /// The breaker wants a trial and no call is there to be one.
-    bool isTrialMissing(Base::TimePoint now) const
+    bool isBreakerClosed() const { return m_breaker.isClosed(); }
+    /// Returns whether the breaker is due for a trial and no newly added call can serve as one.
+    bool needsTrialCall(Base::TimePoint now) const
     {
         return m_breaker.isTrialDue(now) && m_arrived.empty();
     }
@@ -107,6 +119,7 @@
     struct Call
     {
         OperationId id = 0;
+        /// Time after which no attempt is sent.
         Base::TimePoint deadline;
         std::uint32_t attempts = 0;
     };
@@ -117,27 +130,33 @@
         Base::TimePoint timeoutAt;
     };
 
-    void takeArrived(Base::TimePoint now);
+    void admitArrived(Base::TimePoint now);
     void expire(Base::TimePoint now);
-    void wakeDelayed(Base::TimePoint now);
-    void refuseWaiting();
+    void requeueDelayed(Base::TimePoint now);
+    void failWaiting();
     void send(Base::TimePoint now, std::size_t limit);
-    void fail(const Call &call, bool mayHaveEffect, Base::TimePoint now);
-    void end(OperationId call, bool mayHaveEffect) { m_ends.push_back({call, mayHaveEffect}); }
+    void handleFailedAttempt(const Call &call, bool mayHaveEffect, Base::TimePoint now);
+    void failCall(OperationId call, bool mayHaveEffect)
+    {
+        m_failedCalls.push_back({call, mayHaveEffect});
+    }
 
     CallKind m_kind;
-    LanePolicy m_policy;
+    CallQueuePolicy m_policy;
     OperationIds *m_ids;
     CircuitBreaker m_breaker;
     RateLimiter m_rate;
+    /// Calls added since the last advance().
     std::vector<OperationId> m_arrived;
-    /// In order of arrival, since all have the same time to wait.
+    /// Queued calls by deadline; this is the order of arrival, since all calls have the same
+    /// maxWait.
     std::map<std::pair<Base::TimePoint, OperationId>, Call> m_waiting;
+    /// Calls that wait for a retry, by the time of that retry.
     std::multimap<Base::TimePoint, Call> m_delayed;
-    /// By attempt, which is in order of sending and so of timeout.
+    /// Attempts in flight by id; ids grow, so this is also the order of sending and of timeout.
     std::map<OperationId, InFlight> m_inFlight;
     std::vector<Attempt> m_attempts;
-    std::vector<End> m_ends;
+    std::vector<FailedCall> m_failedCalls;
 };
 
 } // namespace Storage
--- a/src/libs/storage/objectgateway.cpp
+++ b/src/libs/storage/objectgateway.cpp
@@ -6,29 +6,29 @@
 
 namespace {
 
-AttemptEnd attemptEnd(ObjectStatus status)
+AttemptResult attemptResult(ObjectStatus status)
 {
     if (status == ObjectStatus::NotDone)
-        return AttemptEnd::NotDone;
-    return status == ObjectStatus::Unknown ? AttemptEnd::Unknown : AttemptEnd::Answered;
+        return AttemptResult::NotDone;
+    return status == ObjectStatus::Unknown ? AttemptResult::Unknown : AttemptResult::Answered;
 }
 
 } // namespace
 
 Base::Result<std::unique_ptr<ObjectGateway>>
-ObjectGateway::create(const ObjectGatewayPolicy &policy, ObjectStore &below,
+ObjectGateway::create(const ObjectGatewayPolicy &policy, ObjectStore &store,
                       Base::RandomSource &random)
 {
-    const bool isRated = policy.fleetGetsPerSecond > 0 && policy.fleetPutsPerSecond > 0;
-    if (!isRated || !isUsable(policy.gets) || !isUsable(policy.puts))
+    const bool hasRates = policy.fleetGetsPerSecond > 0 && policy.fleetPutsPerSecond > 0;
+    if (!hasRates || !isUsable(policy.gets) || !isUsable(policy.puts))
         return boost::leaf::new_error(UnusableObjectPolicy{});
-    return std::unique_ptr<ObjectGateway>(new ObjectGateway(policy, below, random));
+    return std::unique_ptr<ObjectGateway>(new ObjectGateway(policy, store, random));
 }
 
-ObjectGateway::ObjectGateway(const ObjectGatewayPolicy &policy, ObjectStore &below,
+ObjectGateway::ObjectGateway(const ObjectGatewayPolicy &policy, ObjectStore &store,
                              Base::RandomSource &random)
     : m_policy(policy)
-    , m_below(&below)
+    , m_store(&store)
     , m_gets(CallKind::Read, policy.gets, m_attempts, random)
     , m_puts(CallKind::Write, policy.puts, m_attempts, random)
 {
@@ -56,17 +56,17 @@
 
 void ObjectGateway::advance(Base::TimePoint now)
 {
-    // Unlike the table, the store has no reader that asks all the time: puts try for
-    // themselves whether it is back.
+    // Unlike TableGateway, this gateway sends no probing reads of its own, so a put may serve as
+    // the trial call of its breaker.
     m_gets.advance(now, true);
     m_puts.advance(now, true);
-    collectEnds(m_gets);
-    collectEnds(m_puts);
-    for (const CallLane::Attempt &it : m_gets.takeAttempts())
-        m_below->get(it.attempt, m_calls.at(it.call).key);
-    for (const CallLane::Attempt &it : m_puts.takeAttempts()) {
+    collectFailedCalls(m_gets);
+    collectFailedCalls(m_puts);
+    for (const CallQueue::Attempt &it : m_gets.takeAttempts())
+        m_store->get(it.attempt, m_calls.at(it.call).key);
+    for (const CallQueue::Attempt &it : m_puts.takeAttempts()) {
         const Call &call = m_calls.at(it.call);
-        m_below->put(it.attempt, call.key, call.value);
+        m_store->put(it.attempt, call.key, call.value);
     }
 }
 
@@ -79,21 +79,21 @@
 
 void ObjectGateway::handle(const ObjectOutcome &outcome, Base::TimePoint now)
 {
-    const AttemptEnd end = attemptEnd(outcome.status);
-    std::optional<OperationId> call = m_gets.finishAttempt(outcome.operation, end, now);
+    const AttemptResult result = attemptResult(outcome.status);
+    std::optional<OperationId> call = m_gets.finishAttempt(outcome.operation, result, now);
     if (!call)
-        call = m_puts.finishAttempt(outcome.operation, end, now);
-    collectEnds(m_gets);
-    collectEnds(m_puts);
+        call = m_puts.finishAttempt(outcome.operation, result, now);
+    collectFailedCalls(m_gets);
+    collectFailedCalls(m_puts);
     if (!call)
         return;
     m_calls.erase(*call);
     m_outcomes.push_back({*call, outcome.status, outcome.value});
 }
 
-void ObjectGateway::collectEnds(CallLane &lane)
+void ObjectGateway::collectFailedCalls(CallQueue &queue)
 {
-    for (const CallLane::End &it : lane.takeEnds()) {
+    for (const CallQueue::FailedCall &it : queue.takeFailedCalls()) {
         m_calls.erase(it.call);
         const ObjectStatus status =
             it.mayHaveEffect ? ObjectStatus::Unknown : ObjectStatus::NotDone;
--- a/src/libs/storage/tablegateway.cpp
+++ b/src/libs/storage/tablegateway.cpp
@@ -6,34 +6,34 @@
 
 namespace {
 
-/// Ids of the gateway's own reads, which try whether the table is back, begin here; callers'
-/// ids begin at 1. Each has its own: an earlier one may be under way yet.
-constexpr OperationId firstProbe = OperationId{1} << 63;
+/// First id of the gateway's own probing reads, which check whether the table has recovered.
+/// Callers' ids begin at 1. Each probe has its own id, since an earlier one may still be in flight.
+constexpr OperationId firstProbeId = OperationId{1} << 63;
 constexpr const char *probeKey = "probe";
 
-AttemptEnd attemptEnd(TableStatus status)
+AttemptResult attemptResult(TableStatus status)
 {
     if (status == TableStatus::NotDone)
-        return AttemptEnd::NotDone;
-    return status == TableStatus::Unknown ? AttemptEnd::Unknown : AttemptEnd::Answered;
+        return AttemptResult::NotDone;
+    return status == TableStatus::Unknown ? AttemptResult::Unknown : AttemptResult::Answered;
 }
 
 } // namespace
 
 Base::Result<std::unique_ptr<TableGateway>> TableGateway::create(const TableGatewayPolicy &policy,
-                                                                 TableService &below,
+                                                                 TableService &service,
                                                                  Base::RandomSource &random)
 {
-    const bool isRated = policy.fleetReadsPerSecond > 0 && policy.fleetWritesPerSecond > 0;
-    if (!isRated || !isUsable(policy.reads) || !isUsable(policy.writes))
+    const bool hasRates = policy.fleetReadsPerSecond > 0 && policy.fleetWritesPerSecond > 0;
+    if (!hasRates || !isUsable(policy.reads) || !isUsable(policy.writes))
         return boost::leaf::new_error(UnusableGatewayPolicy{});
-    return std::unique_ptr<TableGateway>(new TableGateway(policy, below, random));
+    return std::unique_ptr<TableGateway>(new TableGateway(policy, service, random));
 }
 
-TableGateway::TableGateway(const TableGatewayPolicy &policy, TableService &below,
+TableGateway::TableGateway(const TableGatewayPolicy &policy, TableService &service,
                            Base::RandomSource &random)
     : m_policy(policy)
-    , m_below(&below)
+    , m_service(&service)
     , m_reads(CallKind::Read, policy.reads, m_attempts, random)
     , m_writes(CallKind::Write, policy.writes, m_attempts, random)
 {
@@ -68,15 +68,15 @@
 
 void TableGateway::advance(Base::TimePoint now)
 {
-    // Without callers' reads an outage would last until one comes.
-    if (m_reads.isTrialMissing(now))
-        read(firstProbe + m_probes++, probeKey);
+    // Without a probe and without reads of callers the breaker would stay open after an outage.
+    if (m_reads.needsTrialCall(now))
+        read(firstProbeId + m_probeCount++, probeKey);
     m_reads.advance(now, true);
-    // A write that serves as a trial may end as Unknown, which costs its caller; so reads go
-    // first, and a write is risked only once they are answered.
-    m_writes.advance(now, m_reads.isClosed());
-    collectEnds(m_reads);
-    collectEnds(m_writes);
+    // A write that serves as a trial call may end as Unknown, which is costly for its caller.
+    // Therefore a write is tried only after a read was answered.
+    m_writes.advance(now, m_reads.isBreakerClosed());
+    collectFailedCalls(m_reads);
+    collectFailedCalls(m_writes);
     sendReads();
     sendWrites();
 }
@@ -91,24 +91,24 @@
 
 void TableGateway::handle(const TableOutcome &outcome, Base::TimePoint now)
 {
-    const AttemptEnd end = attemptEnd(outcome.status);
-    std::optional<OperationId> call = m_reads.finishAttempt(outcome.operation, end, now);
+    const AttemptResult result = attemptResult(outcome.status);
+    std::optional<OperationId> call = m_reads.finishAttempt(outcome.operation, result, now);
     if (!call)
-        call = m_writes.finishAttempt(outcome.operation, end, now);
-    collectEnds(m_reads);
-    collectEnds(m_writes);
+        call = m_writes.finishAttempt(outcome.operation, result, now);
+    collectFailedCalls(m_reads);
+    collectFailedCalls(m_writes);
     if (!call)
         return;
     m_calls.erase(*call);
-    if (*call < firstProbe)
+    if (*call < firstProbeId)
         m_outcomes.push_back({*call, outcome.status, outcome.rows});
 }
 
-void TableGateway::collectEnds(CallLane &lane)
+void TableGateway::collectFailedCalls(CallQueue &queue)
 {
-    for (const CallLane::End &it : lane.takeEnds()) {
+    for (const CallQueue::FailedCall &it : queue.takeFailedCalls()) {
         m_calls.erase(it.call);
-        if (it.call >= firstProbe)
+        if (it.call >= firstProbeId)
             continue;
         const TableStatus status = it.mayHaveEffect ? TableStatus::Unknown : TableStatus::NotDone;
         m_outcomes.push_back({it.call, status, {}});
@@ -117,19 +117,19 @@
 
 void TableGateway::sendReads()
 {
-    for (const CallLane::Attempt &it : m_reads.takeAttempts()) {
+    for (const CallQueue::Attempt &it : m_reads.takeAttempts()) {
         const Call &call = m_calls.at(it.call);
         if (call.isScan)
-            m_below->scan(it.attempt, call.key, call.after, call.limit);
+            m_service->scan(it.attempt, call.key, call.after, call.limit);
         else
-            m_below->read(it.attempt, call.key);
+            m_service->read(it.attempt, call.key);
     }
 }
 
 void TableGateway::sendWrites()
 {
-    for (const CallLane::Attempt &it : m_writes.takeAttempts())
-        m_below->transact(it.attempt, m_calls.at(it.call).writes);
+    for (const CallQueue::Attempt &it : m_writes.takeAttempts())
+        m_service->transact(it.attempt, m_calls.at(it.call).writes);
 }
 
 } // namespace Storage
--- a/src/libs/storage/tablegateway.h
+++ b/src/libs/storage/tablegateway.h
@@ -14,35 +14,38 @@
 
 namespace Storage {
 
+/// Limits of the calls to the table.
 struct TableGatewayPolicy
 {
-    LanePolicy reads;
-    LanePolicy writes;
-    /// What the whole fleet may ask of the table, in calls a second. The table bears several
-    /// hundred writes and about 2,000 reads; a quarter is left to operators and other users.
+    CallQueuePolicy reads;
+    CallQueuePolicy writes;
+    /// Rate limits of the whole fleet, in calls per second. The table handles several hundred
+    /// writes and about 2,000 reads per second; a quarter is reserved for operators and other
+    /// clients.
     double fleetReadsPerSecond = 1500;
     double fleetWritesPerSecond = 300;
 };
 
-/// A policy that lets no call through.
+/// Error: the policy lets no call through.
 struct UnusableGatewayPolicy
 {};
 
-/// The way to the platform's table: a TableService before another one, with timeouts, bounded
-/// retries, a circuit breaker, a bound on calls in flight and this daemon's share of the rate.
+/// Wraps the client of the platform's table with timeouts, bounded retries, a circuit breaker, a
+/// limit on calls in flight and this router's share of the fleet's rate limits.
 ///
-/// Each call is followed by exactly one outcome in takeOutcomes(). Done and Conflict are the
-/// table's own words. NotDone is said only if nothing was and nothing will be written: the
-/// write never left, or the service below said NotDone. A write that left and was not answered
-/// is Unknown. A read that failed is NotDone.
+/// Each call is followed by exactly one outcome in takeOutcomes(). Done and Conflict are answers of
+/// the table. A write ends as NotDone only if nothing was and nothing will be written: it was never
+/// sent, or the wrapped service reported NotDone. A write that was sent and not answered ends as
+/// Unknown. A failed read ends as NotDone.
 ///
-/// Calls leave with the next advance(): the owner calls it at the end of each turn.
+/// Calls are sent by the next advance(), which the owner calls at the end of each turn of its event
+/// loop.
 class TableGateway final : public TableService
 {
 public:
-    /// Fails with UnusableGatewayPolicy. \a below and \a random outlive the gateway.
+    /// Fails with UnusableGatewayPolicy. \a service and \a random must outlive the gateway.
     static Base::Result<std::unique_ptr<TableGateway>>
-    create(const TableGatewayPolicy &policy, TableService &below, Base::RandomSource &random);
+    create(const TableGatewayPolicy &policy, TableService &service, Base::RandomSource &random);
 
     void read(OperationId operation, const std::string &key) override;
     void scan(OperationId operation, const std::string &prefix, const std::string &after,
@@ -50,19 +53,20 @@
     void transact(OperationId operation, const std::vector<TableWrite> &writes) override;
     Base::TimePoint nextWriteAt() const override { return m_writes.readyAt(); }
 
-    /// Number of live routers that share the table's rate, this one included.
+    /// Sets the number of live routers that share the rate limits, including this one.
     void setFleetSize(std::size_t routers);
 
-    /// Sends what may leave, ends what is overdue.
+    /// Sends the calls that may be sent and ends those that are overdue.
     void advance(Base::TimePoint now);
+    /// Returns the earliest time at which advance() or takeOutcomes() has something to do.
     Base::TimePoint nextDue() const;
-    /// An outcome of the service below.
+    /// Handles an outcome that the wrapped service reports.
     void handle(const TableOutcome &outcome, Base::TimePoint now);
-    /// Outcomes for the callers of this gateway.
+    /// Returns the outcomes for the callers of this gateway and clears the list.
     std::vector<TableOutcome> takeOutcomes() { return std::exchange(m_outcomes, {}); }
 
-    const CallLane &reads() const { return m_reads; }
-    const CallLane &writes() const { return m_writes; }
+    const CallQueue &reads() const { return m_reads; }
+    const CallQueue &writes() const { return m_writes; }
 
 private:
     struct Call
@@ -74,18 +78,19 @@
         std::vector<TableWrite> writes;
     };
 
-    TableGateway(const TableGatewayPolicy &policy, TableService &below, Base::RandomSource &random);
-    void collectEnds(CallLane &lane);
+    TableGateway(const TableGatewayPolicy &policy, TableService &service,
+                 Base::RandomSource &random);
+    void collectFailedCalls(CallQueue &queue);
     void sendReads();
     void sendWrites();
 
     TableGatewayPolicy m_policy;
-    TableService *m_below;
-    /// Ids of attempts; apart from those of the callers.
+    TableService *m_service;
+    /// Ids of attempts, separate from the operation ids of the callers.
     OperationIds m_attempts;
-    std::uint64_t m_probes = 0;
-    CallLane m_reads;
-    CallLane m_writes;
+    std::uint64_t m_probeCount = 0;
+    CallQueue m_reads;
+    CallQueue m_writes;
     std::map<OperationId, Call> m_calls;
     std::vector<TableOutcome> m_outcomes;
 };
--- a/tests/auto/storage/tst_objectgateway.cpp
+++ b/tests/auto/storage/tst_objectgateway.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A store that loses, refuses, delays and doubles by chance.
+/// A store that loses, refuses and delays calls and duplicates answers at random.
 class FaultyStore final : public ObjectStore
 {
 public:
@@ -23,23 +23,23 @@
 
     void put(OperationId operation, const std::string &, const std::string &value) override
     {
-        if (decide(operation, ObjectStatus::Done))
+        if (scheduleAnswer(operation, ObjectStatus::Done))
             stored.insert(value);
     }
     void get(OperationId operation, const std::string &) override
     {
-        decide(operation, ObjectStatus::Missing);
+        scheduleAnswer(operation, ObjectStatus::Missing);
     }
 
     std::vector<ObjectOutcome> step(Base::TimePoint time)
     {
         now = time;
-        std::vector<ObjectOutcome> arrived;
+        std::vector<ObjectOutcome> due;
         while (!answers.empty() && answers.begin()->first <= now) {
-            arrived.push_back(answers.begin()->second);
+            due.push_back(answers.begin()->second);
             answers.erase(answers.begin());
         }
-        return arrived;
+        return due;
     }
 
     Base::SeededRandom random;
@@ -48,31 +48,31 @@
     std::set<std::string> stored;
 
 private:
-    bool decide(OperationId operation, ObjectStatus status)
+    bool scheduleAnswer(OperationId operation, ObjectStatus status)
     {
-        const std::uint64_t fate = random.next() % 8;
+        const std::uint64_t roll = random.next() % 8;
         const Base::TimePoint at = now + std::chrono::milliseconds(random.next() % 1500);
-        if (fate < 2)
+        if (roll < 2)
             answers.insert({at, {operation, ObjectStatus::NotDone, {}}});
-        else if (fate > 2)
+        else if (roll > 2)
             answers.insert({at, {operation, status, {}}});
-        if (fate == 7)
+        if (roll == 7)
             answers.insert({at + 300ms, {operation, status, {}}});
-        return fate >= 2;
+        return roll >= 2;
     }
 };
 
 } // namespace
 
-// An operator is told that an answer was not stored, and it was; or one call ends twice. The
-// store loses, delays and doubles its answers.
-TEST_CASE("one outcome for each call of the object store, and none is a lie")
+// Guards against a put that is reported as not stored although it was stored, and against a call
+// that ends twice. The store loses, delays and duplicates its answers.
+TEST_CASE("each call of the object store has exactly one outcome, and the outcome is true")
 {
-    rc::prop("under loss, delay and doubling", [](std::uint64_t seed) {
+    rc::prop("under loss, delay and duplication", [](std::uint64_t seed) {
         FaultyStore store(seed);
         Base::SeededRandom random(seed);
         const std::unique_ptr<ObjectGateway> gateway = *ObjectGateway::create({}, store, random);
-        std::map<OperationId, std::vector<ObjectStatus>> ends;
+        std::map<OperationId, std::vector<ObjectStatus>> outcomes;
         for (int i = 0; i < 600; ++i) {
             const Base::TimePoint now{i * 20ms};
             const auto id = static_cast<OperationId>(i) + 1;
@@ -84,10 +84,10 @@
                 gateway->handle(outcome, now);
             gateway->advance(now);
             for (const ObjectOutcome &outcome : gateway->takeOutcomes())
-                ends[outcome.operation].push_back(outcome.status);
+                outcomes[outcome.operation].push_back(outcome.status);
         }
-        RC_ASSERT(ends.size() == 200U);
-        for (const auto &[id, statuses] : ends) {
+        RC_ASSERT(outcomes.size() == 200U);
+        for (const auto &[id, statuses] : outcomes) {
             RC_ASSERT(statuses.size() == 1U);
             const bool isStored = store.stored.contains(std::to_string(id));
             if (statuses.front() == ObjectStatus::Done)
--- a/tests/auto/storage/tst_tablegateway.cpp
+++ b/tests/auto/storage/tst_tablegateway.cpp
@@ -12,23 +12,24 @@
 
 namespace {
 
-struct Bench
+/// A gateway in front of a faulty table, driven in steps of 10 ms.
+struct GatewayFixture
 {
-    explicit Bench(std::uint64_t seed, const TableGatewayPolicy &policy = {})
-        : below(table, seed)
+    explicit GatewayFixture(std::uint64_t seed, const TableGatewayPolicy &policy = {})
+        : service(table, seed)
         , random(seed)
-        , gateway(std::move(*TableGateway::create(policy, below, random)))
+        , gateway(std::move(*TableGateway::create(policy, service, random)))
     {}
 
     void step()
     {
         now += 10ms;
-        for (const TableOutcome &outcome : below.step(now))
+        for (const TableOutcome &outcome : service.step(now))
             gateway->handle(outcome, now);
         gateway->advance(now);
         for (const TableOutcome &outcome : gateway->takeOutcomes()) {
-            ends[outcome.operation].push_back(outcome);
-            waits[outcome.operation] = now - begun[outcome.operation];
+            outcomes[outcome.operation].push_back(outcome);
+            durations[outcome.operation] = now - startTimes[outcome.operation];
         }
     }
 
@@ -41,7 +42,7 @@
     OperationId write(const std::string &key, std::optional<RowVersion> expected)
     {
         const OperationId id = ids.next();
-        begun[id] = now;
+        startTimes[id] = now;
         gateway->transact(id, {{key, std::to_string(id), expected}});
         return id;
     }
@@ -49,162 +50,164 @@
     OperationId read()
     {
         const OperationId id = ids.next();
-        begun[id] = now;
+        startTimes[id] = now;
         gateway->read(id, "k");
         return id;
     }
 
-    TableStatus status(OperationId id) { return ends.at(id).front().status; }
+    TableStatus status(OperationId id) { return outcomes.at(id).front().status; }
 
     Fakes::Table table;
-    Fakes::FaultyTable below;
+    Fakes::FaultyTable service;
     Base::SeededRandom random;
     std::unique_ptr<TableGateway> gateway;
     OperationIds ids;
     Base::TimePoint now{};
-    std::map<OperationId, Base::TimePoint> begun;
-    std::map<OperationId, Base::Duration> waits;
-    std::map<OperationId, std::vector<TableOutcome>> ends;
+    std::map<OperationId, Base::TimePoint> startTimes;
+    std::map<OperationId, Base::Duration> durations;
+    std::map<OperationId, std::vector<TableOutcome>> outcomes;
 };
 
 } // namespace
 
-// A caller is told that its call was not run, and it ran; or its one call ends twice.
-// The table loses, delays and doubles requests and answers; a write takes effect long after
-// its timeout. The cause would be a retry or a guess where the truth is not known.
-TEST_CASE("one outcome for each call, and none is a lie")
+// Guards against a call that is reported as not run although it ran, and against a call that
+// ends twice. The table loses, delays and duplicates requests and answers, and a write may take
+// effect long after its timeout. Retrying such a write, or guessing its result, would cause the
+// failure.
+TEST_CASE("each call has exactly one outcome, and the outcome is true")
 {
-    rc::prop("under loss, delay and doubling", [](std::uint64_t seed) {
-        Bench bench(seed);
+    rc::prop("under loss, delay and duplication", [](std::uint64_t seed) {
+        GatewayFixture fixture(seed);
         std::vector<OperationId> writes;
         for (int i = 0; i < 60; ++i) {
             if (i % 10 == 0) {
                 const Base::Duration delays[] = {5ms, 300ms, 1500ms, 4000ms};
-                bench.below.faults = {bench.random.next() % 40, bench.random.next() % 30,
-                                      bench.random.next() % 30, bench.random.next() % 40,
-                                      delays[bench.random.next() % 4]};
+                fixture.service.faults = {fixture.random.next() % 40, fixture.random.next() % 30,
+                                          fixture.random.next() % 30, fixture.random.next() % 40,
+                                          delays[fixture.random.next() % 4]};
             }
-            const std::string key = "k" + std::to_string(bench.random.next() % 20);
-            writes.push_back(bench.write(key, absentRow));
-            bench.read();
-            bench.run(std::chrono::milliseconds(bench.random.next() % 8 * 50));
+            const std::string key = "k" + std::to_string(fixture.random.next() % 20);
+            writes.push_back(fixture.write(key, absentRow));
+            fixture.read();
+            fixture.run(std::chrono::milliseconds(fixture.random.next() % 8 * 50));
         }
-        bench.run(15s);
-        const auto &written = bench.below.written;
-        for (const auto &[id, begun] : bench.begun) {
-            RC_ASSERT(bench.ends[id].size() == 1U);
-            RC_ASSERT(bench.waits[id] <= 2000ms + 800ms + 20ms);
+        fixture.run(15s);
+        const auto &written = fixture.service.written;
+        for (const auto &[id, startTime] : fixture.startTimes) {
+            RC_ASSERT(fixture.outcomes[id].size() == 1U);
+            RC_ASSERT(fixture.durations[id] <= 2000ms + 800ms + 20ms);
         }
         for (const OperationId id : writes) {
             const auto n = std::count(written.begin(), written.end(), std::to_string(id));
             RC_ASSERT(n <= 1);
-            if (bench.status(id) == TableStatus::Done)
+            if (fixture.status(id) == TableStatus::Done)
                 RC_ASSERT(n == 1);
-            if (bench.status(id) == TableStatus::Conflict
-                || bench.status(id) == TableStatus::NotDone)
+            if (fixture.status(id) == TableStatus::Conflict
+                || fixture.status(id) == TableStatus::NotDone)
                 RC_ASSERT(n == 0);
         }
     });
 }
 
-// Every caller of work that needs the table waits for a whole timeout, during an hour's outage,
-// one after another. The cause would be that nothing remembers the last failures.
-TEST_CASE("an outage answers at once and ends soon after the table is back")
+// Guards against callers that wait for a whole timeout each during a long outage of the table. This
+// happens if earlier failures do not make later calls fail at once.
+TEST_CASE("calls fail at once during an outage and succeed soon after the table recovers")
 {
-    Bench bench(7);
-    bench.below.faults.requestLost = 100;
+    GatewayFixture fixture(7);
+    fixture.service.faults.requestLost = 100;
     for (int i = 0; i < 30; ++i) {
-        bench.read();
-        bench.write("k", std::nullopt);
-        bench.run(100ms);
+        fixture.read();
+        fixture.write("k", std::nullopt);
+        fixture.run(100ms);
     }
-    bench.run(60s);
-    const OperationId read = bench.read();
-    const OperationId write = bench.write("k", std::nullopt);
-    bench.step();
-    CHECK(bench.status(read) == TableStatus::NotDone);
-    CHECK(bench.status(write) == TableStatus::NotDone);
-    CHECK(bench.waits[write] <= 10ms);
-
-    bench.below.faults = {};
-    bench.run(13s);
-    const OperationId again = bench.write("k", std::nullopt);
-    bench.run(100ms);
-    CHECK(bench.status(again) == TableStatus::Done);
-    const OperationId second = bench.read();
-    bench.run(100ms);
-    CHECK(bench.status(second) == TableStatus::Done);
+    fixture.run(60s);
+    const OperationId read = fixture.read();
+    const OperationId write = fixture.write("k", std::nullopt);
+    fixture.step();
+    CHECK(fixture.status(read) == TableStatus::NotDone);
+    CHECK(fixture.status(write) == TableStatus::NotDone);
+    CHECK(fixture.durations[write] <= 10ms);
+
+    fixture.service.faults = {};
+    fixture.run(13s);
+    const OperationId recovered = fixture.write("k", std::nullopt);
+    fixture.run(100ms);
+    CHECK(fixture.status(recovered) == TableStatus::Done);
+    const OperationId second = fixture.read();
+    fixture.run(100ms);
+    CHECK(fixture.status(second) == TableStatus::Done);
 }
 
-// The table is back, but a router's calls fail until it is restarted: its one trial was held
-// back by the rate, and the breaker waited for the answer to a call that never left.
-TEST_CASE("a trial that the rate holds back is made later")
+// Guards against a router whose calls fail until its restart although the table has recovered. This
+// happens if the rate limit holds the trial call back and the breaker waits for an answer to a
+// call that was never sent.
+TEST_CASE("a trial that the rate limit holds back is made later")
 {
-    LanePolicy policy;
+    CallQueuePolicy policy;
     policy.burst = 1;
     policy.breaker.failuresToOpen = 1;
     OperationIds ids;
     Base::SeededRandom random(1);
-    CallLane lane(CallKind::Write, policy, ids, random);
-    lane.setRate(0.7);
+    CallQueue queue(CallKind::Write, policy, ids, random);
+    queue.setRate(0.7);
     const Base::TimePoint start{};
-    lane.add(1);
-    lane.advance(start, true);
-    lane.finishAttempt(lane.takeAttempts().at(0).attempt, AttemptEnd::NotDone, start);
-    lane.add(2); // A trial is due, the next call only after 1.43 s.
-    lane.advance(start + 800ms, true);
-    CHECK(lane.takeAttempts().empty());
-    CHECK(lane.takeEnds().size() == 2);
-    lane.add(3);
-    lane.advance(start + 2s, true);
-    REQUIRE(lane.takeAttempts().size() == 1);
+    queue.add(1);
+    queue.advance(start, true);
+    queue.finishAttempt(queue.takeAttempts().at(0).attempt, AttemptResult::NotDone, start);
+    queue.add(2); // A trial is due, but the rate limit allows the next call only after 1.43 s.
+    queue.advance(start + 800ms, true);
+    CHECK(queue.takeAttempts().empty());
+    CHECK(queue.takeFailedCalls().size() == 2);
+    queue.add(3);
+    queue.advance(start + 2s, true);
+    REQUIRE(queue.takeAttempts().size() == 1);
 }
 
-// A burst at 8 daemons' callers makes the table refuse everybody. Each daemon may use its
-// share only; what can't leave in time was never sent, and its caller is told so.
-TEST_CASE("a burst leaves at the daemon's share of the rate, the rest ends as not done")
+// Guards against a burst of requests at 8 routers that makes the table refuse the calls of every
+// client. Each router uses only its share; a call that cannot be sent in time ends as not done.
+TEST_CASE("a burst is sent at the router's share of the rate, the rest ends as not done")
 {
-    Bench bench(7);
-    bench.gateway->setFleetSize(8);
+    GatewayFixture fixture(7);
+    fixture.gateway->setFleetSize(8);
     for (int i = 0; i < 1000; ++i)
-        bench.write("k", std::nullopt);
-    bench.run(5s);
-    // 300 / 8 a second for the two seconds that a call may wait, and the burst of 4.
-    CHECK(bench.below.writeCalls <= 79U);
-    CHECK(bench.below.writeCalls >= 73U);
+        fixture.write("k", std::nullopt);
+    fixture.run(5s);
+    // 300 / 8 calls per second for the two seconds that a call may wait, plus the burst of 4.
+    CHECK(fixture.service.writeCalls <= 79U);
+    CHECK(fixture.service.writeCalls >= 73U);
     std::size_t done = 0;
-    for (const auto &[id, ends] : bench.ends) {
-        REQUIRE(ends.size() == 1U);
-        CHECK((ends.front().status == TableStatus::Done
-               || ends.front().status == TableStatus::NotDone));
-        done += ends.front().status == TableStatus::Done ? 1 : 0;
+    for (const auto &[id, outcomes] : fixture.outcomes) {
+        REQUIRE(outcomes.size() == 1U);
+        CHECK((outcomes.front().status == TableStatus::Done
+               || outcomes.front().status == TableStatus::NotDone));
+        done += outcomes.front().status == TableStatus::Done ? 1 : 0;
     }
-    CHECK(bench.ends.size() == 1000U);
-    CHECK(done == bench.below.writeCalls);
+    CHECK(fixture.outcomes.size() == 1000U);
+    CHECK(done == fixture.service.writeCalls);
 }
 
-// The table answers after 700 ms each: without a bound, calls of a busy daemon pile up there.
-TEST_CASE("a slow table meets a bounded number of calls")
+// Guards against calls of a busy router that pile up at a table that takes up to 700 ms per call.
+TEST_CASE("a slow table receives a bounded number of concurrent calls")
 {
     TableGatewayPolicy policy;
     policy.writes.burst = 100;
-    Bench bench(7, policy);
-    bench.below.faults.longestDelay = 350ms;
-    std::size_t most = 0;
+    GatewayFixture fixture(7, policy);
+    fixture.service.faults.longestDelay = 350ms;
+    std::size_t maxInFlight = 0;
     for (int i = 0; i < 300; ++i) {
-        bench.write("k", std::nullopt);
-        bench.step();
-        most = std::max(most, bench.gateway->writes().inFlight());
+        fixture.write("k", std::nullopt);
+        fixture.step();
+        maxInFlight = std::max(maxInFlight, fixture.gateway->writes().inFlight());
     }
-    CHECK(most == policy.writes.largestInFlight);
+    CHECK(maxInFlight == policy.writes.maxInFlight);
 }
 
-TEST_CASE("a policy that lets nothing through is refused")
+TEST_CASE("a policy that lets no call through is rejected")
 {
     Fakes::Table table;
-    Fakes::FaultyTable below(table, 1);
+    Fakes::FaultyTable service(table, 1);
     Base::SeededRandom random(1);
     TableGatewayPolicy policy;
-    policy.writes.largestInFlight = 0;
-    CHECK_FALSE(TableGateway::create(policy, below, random));
+    policy.writes.maxInFlight = 0;
+    CHECK_FALSE(TableGateway::create(policy, service, random));
 }
