--- a/src/libs/settings/address.cpp
+++ b/src/libs/settings/address.cpp
@@ -19,7 +19,7 @@
     if (ec != std::errc() || ptr != end || port == 0)
         return std::nullopt;
     in_addr parsed{};
-    // A zero byte would hide what follows it from inet_pton.
+    // inet_pton() stops at a zero byte and would accept any bytes after it.
     const bool isText = ip.find('\0') == std::string::npos;
     if (!isText || inet_pton(AF_INET, ip.c_str(), &parsed) != 1)
         return std::nullopt;
--- a/src/libs/settings/address.h
+++ b/src/libs/settings/address.h
@@ -7,7 +7,7 @@
 
 namespace Settings {
 
-/// An IPv4 address and a port. Host names are no addresses: processes meet by IP numbers.
+/// An IPv4 address and a port. Host names are not supported, since processes connect by IP address.
 struct Address
 {
     std::string ip;
@@ -16,8 +16,9 @@
     bool operator==(const Address &) const = default;
 };
 
-/// Reads "IP:PORT" with a port from 1 to 65535; empty for any other text.
+/// Parses "IP:PORT" with a port from 1 to 65535. Returns nothing for any other text.
 std::optional<Address> parseAddress(std::string_view text);
+/// Returns "IP:PORT".
 std::string toString(const Address &address);
 
 } // namespace Settings
--- a/src/libs/settings/settingsfault.h
+++ b/src/libs/settings/settingsfault.h
@@ -5,18 +5,20 @@
 
 namespace Settings {
 
-/// One thing that is wrong with a JSON text.
+/// One error in a JSON text.
 struct SettingsFault
 {
-    /// JSON pointer (RFC 6901) to the place; empty for the whole text.
+    /// JSON pointer (RFC 6901) to the faulty value; empty for the whole text.
     std::string pointer;
+    /// What the text should have there, in words.
     std::string expected;
+    /// What the text has there, shortened.
     std::string found;
 
     bool operator==(const SettingsFault &) const = default;
 };
 
-/// Everything that is wrong with a JSON text, so that one run shows all there is to mend.
+/// Error: all faults of a JSON text, so that one run shows everything that has to be corrected.
 struct SettingsFaults
 {
     std::vector<SettingsFault> faults;
@@ -24,7 +26,7 @@
     bool operator==(const SettingsFaults &) const = default;
 };
 
-/// "POINTER: expected EXPECTED, found FOUND", for people.
+/// Returns the message "POINTER: expected EXPECTED, found FOUND" for an operator.
 std::string toString(const SettingsFault &fault);
 
 } // namespace Settings
