--- a/src/libs/settings/jsonreader.cpp
+++ b/src/libs/settings/jsonreader.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::size_t longestName = 64;
-constexpr std::size_t longestDescription = 60;
-constexpr char nameText[] = "1 to 64 letters, digits, '.', '_' or '-'";
-constexpr char addressText[] = "\"IP:PORT\" with an IPv4 address and a port from 1 to 65535";
-constexpr char missingText[] = "nothing";
+constexpr std::size_t maxNameLength = 64;
+constexpr std::size_t maxDescriptionLength = 60;
+constexpr char expectedName[] = "1 to 64 letters, digits, '.', '_' or '-'";
+constexpr char expectedAddress[] = "\"IP:PORT\" with an IPv4 address and a port from 1 to 65535";
+constexpr char nothingFound[] = "nothing";
 
 bool isNameCharacter(char c)
 {
@@ -24,7 +24,7 @@
 
 bool isName(const std::string &text)
 {
-    return !text.empty() && text.size() <= longestName
+    return !text.empty() && text.size() <= maxNameLength
            && std::all_of(text.begin(), text.end(), isNameCharacter);
 }
 
@@ -39,12 +39,12 @@
     return all;
 }
 
-/// Follows a parser through a text and notes keys that stand twice in one object. The parser
-/// itself would take the last one and say nothing.
-class KeyWatch
+/// Parser callback that records keys that occur twice in one object. The parser itself silently
+/// keeps the last value.
+class DuplicateKeyDetector
 {
 public:
-    explicit KeyWatch(SettingsFaults &faults)
+    explicit DuplicateKeyDetector(SettingsFaults &faults)
         : m_faults(&faults)
     {}
 
@@ -62,7 +62,7 @@
             m_levels.pop_back();
             break;
         case Event::key:
-            noteKey(parsed.get_ref<const std::string &>());
+            addKey(parsed.get_ref<const std::string &>());
             break;
         case Event::value:
             beginValue();
@@ -86,12 +86,12 @@
             ++m_levels.back().elements;
     }
 
-    void noteKey(const std::string &key)
+    void addKey(const std::string &key)
     {
         Level &level = m_levels.back();
         level.key = key;
         if (!level.keys.insert(key).second)
-            m_faults->faults.push_back({pointer(), "each key once", "the key again"});
+            m_faults->faults.push_back({pointer(), "each key once", "a duplicate key"});
     }
 
     std::string pointer() const
@@ -114,18 +114,20 @@
 
 std::optional<Json> parseJson(std::string_view text, SettingsFaults &faults)
 {
-    KeyWatch watch(faults);
-    // nlohmann-json tells where a syntax error is only by its exception.
+    DuplicateKeyDetector detector(faults);
+    // nlohmann-json reports the position of a syntax error only with its exception.
     try {
         return Json::parse(
             text,
-            [&watch](int, Json::parse_event_t event, Json &parsed) { return watch(event, parsed); },
+            [&detector](int, Json::parse_event_t event, Json &parsed) {
+                return detector(event, parsed);
+            },
             true, true);
     } catch (const Json::parse_error &ec) {
         faults.faults.push_back(
             {"", "JSON, comments allowed", "a syntax error at byte " + std::to_string(ec.byte)});
     } catch (const Json::exception &) {
-        faults.faults.push_back({"", "JSON, comments allowed", "a number out of every range"});
+        faults.faults.push_back({"", "JSON, comments allowed", "a number that is out of range"});
     }
     return std::nullopt;
 }
@@ -137,8 +139,8 @@
     if (json.is_array())
         return "an array";
     std::string text = json.dump(-1, ' ', true, Json::error_handler_t::replace);
-    if (text.size() > longestDescription)
-        text = text.substr(0, longestDescription) + "...";
+    if (text.size() > maxDescriptionLength)
+        text = text.substr(0, maxDescriptionLength) + "...";
     return text;
 }
 
@@ -154,7 +156,7 @@
 
 const Json *ObjectReader::optional(const std::string &key)
 {
-    m_asked.push_back(key);
+    m_readKeys.push_back(key);
     if (!m_json->is_object())
         return nullptr;
     const auto it = m_json->find(key);
@@ -165,65 +167,63 @@
 {
     const Json *member = optional(key);
     if (!member && m_json->is_object())
-        addFault(key, expected, missingText);
+        addFault(key, expected, nothingFound);
     return member;
 }
 
 std::string ObjectReader::name(const std::string &key)
 {
-    const Json *member = required(key, nameText);
+    const Json *member = required(key, expectedName);
     if (!member)
         return {};
     if (member->is_string() && isName(member->get_ref<const std::string &>()))
         return member->get<std::string>();
-    addFault(key, nameText, describe(*member));
+    addFault(key, expectedName, describe(*member));
     return {};
 }
 
 Address ObjectReader::address(const std::string &key)
 {
-    const Json *member = required(key, addressText);
+    const Json *member = required(key, expectedAddress);
     if (!member)
         return {};
     std::optional<Address> parsed;
     if (member->is_string())
         parsed = parseAddress(member->get_ref<const std::string &>());
     if (!parsed)
-        addFault(key, addressText, describe(*member));
+        addFault(key, expectedAddress, describe(*member));
     return parsed.value_or(Address());
 }
 
-std::int64_t ObjectReader::integer(const std::string &key, std::int64_t smallest,
-                                   std::int64_t largest, std::int64_t defaultValue)
+std::int64_t ObjectReader::integer(const std::string &key, std::int64_t min, std::int64_t max,
+                                   std::int64_t defaultValue)
 {
     const Json *member = optional(key);
     if (!member)
         return defaultValue;
     if (member->is_number_integer()) {
-        // A number past the largest std::int64_t turns negative, which is out of range as well.
+        // A number above the range of std::int64_t becomes negative here and is rejected as well.
         const auto value = member->get<std::int64_t>();
-        if (value >= smallest && value <= largest)
+        if (value >= min && value <= max)
             return value;
     }
-    addFault(key,
-             "a whole number from " + std::to_string(smallest) + " to " + std::to_string(largest),
+    addFault(key, "a whole number from " + std::to_string(min) + " to " + std::to_string(max),
              describe(*member));
     return defaultValue;
 }
 
-double ObjectReader::number(const std::string &key, double smallest, double largest,
-                            double defaultValue)
+double ObjectReader::number(const std::string &key, double min, double max, double defaultValue)
 {
     const Json *member = optional(key);
     if (!member)
         return defaultValue;
     if (member->is_number()) {
         const auto value = member->get<double>();
-        if (value >= smallest && value <= largest)
+        if (value >= min && value <= max)
             return value;
     }
     std::ostringstream expected;
-    expected << "a number from " << smallest << " to " << largest;
+    expected << "a number from " << min << " to " << max;
     addFault(key, expected.str(), describe(*member));
     return defaultValue;
 }
@@ -253,9 +253,9 @@
     if (!m_json->is_object())
         return;
     for (const auto &[key, value] : m_json->items()) {
-        if (std::find(m_asked.begin(), m_asked.end(), key) != m_asked.end())
+        if (std::find(m_readKeys.begin(), m_readKeys.end(), key) != m_readKeys.end())
             continue;
-        addFault(key, "only the keys " + joined(m_asked), "an unknown key");
+        addFault(key, "only the keys " + joined(m_readKeys), "an unknown key");
     }
 }
 
--- a/src/libs/settings/jsonreader.h
+++ b/src/libs/settings/jsonreader.h
@@ -15,49 +15,54 @@
 
 using Json = nlohmann::json;
 
-/// Parses \a text, in which comments are allowed. A syntax error and every key that stands
-/// twice in one object become faults; nothing is returned after a syntax error.
+/// Parses \a text, which may contain comments. Adds a fault for a syntax error and for every key
+/// that occurs twice in one object. Returns nothing after a syntax error.
 std::optional<Json> parseJson(std::string_view text, SettingsFaults &faults);
 
-/// What \a json is, short enough for a message.
+/// Returns a description of \a json that is short enough for a message.
 std::string describe(const Json &json);
 
-/// Reads the members of one JSON object and records each fault. A reader never stops at a
-/// fault: it returns a default and goes on, so that all faults of a text are found at once.
+/// Reads the members of one JSON object and records each fault. A reader does not stop at a fault:
+/// it returns a default value and continues, so that all faults of a text are found in one pass.
 class ObjectReader
 {
 public:
-    /// \a json is the value at \a pointer; if it is no object that is a fault. The arguments
-    /// outlive the reader.
+    /// \a json is the value at \a pointer; a value that is not an object is a fault. \a json and
+    /// \a faults must outlive the reader.
     ObjectReader(const Json &json, const Json::json_pointer &pointer, SettingsFaults &faults);
 
-    /// The member \a key; null if it is missing, which is a fault only for required().
+    /// Returns the member \a key, or null if it is missing.
     const Json *optional(const std::string &key);
+    /// Returns the member \a key. If it is missing, returns null and adds a fault with the text
+    /// \a expected.
     const Json *required(const std::string &key, const std::string &expected);
 
-    /// Required: 1 to 64 letters, digits, '.', '_' or '-'.
+    /// Reads a required string of 1 to 64 letters, digits, '.', '_' or '-'.
     std::string name(const std::string &key);
-    /// Required.
+    /// Reads a required "IP:PORT".
     Address address(const std::string &key);
-    /// Optional: a whole number from \a smallest, which is not negative, to \a largest.
-    std::int64_t integer(const std::string &key, std::int64_t smallest, std::int64_t largest,
+    /// Reads an optional whole number from \a min, which must not be negative, to \a max.
+    std::int64_t integer(const std::string &key, std::int64_t min, std::int64_t max,
                          std::int64_t defaultValue);
-    /// Optional: any number from \a smallest to \a largest.
-    double number(const std::string &key, double smallest, double largest, double defaultValue);
-    /// Optional: one of \a choices; returns its place.
+    /// Reads an optional number from \a min to \a max.
+    double number(const std::string &key, double min, double max, double defaultValue);
+    /// Reads an optional string that is one of \a choices; returns its index.
     std::size_t choice(const std::string &key, const std::vector<std::string> &choices,
                        std::size_t defaultChoice);
 
+    /// Returns the JSON pointer of the member \a key.
     Json::json_pointer pointerTo(const std::string &key) const { return m_pointer / key; }
+    /// Adds a fault of the member \a key.
     void addFault(const std::string &key, const std::string &expected, const std::string &found);
-    /// Makes every member that was not asked for a fault. Call it last.
+    /// Adds a fault for every member that was not read. Must be called last.
     void finish();
 
 private:
     const Json *m_json;
     Json::json_pointer m_pointer;
     SettingsFaults *m_faults;
-    std::vector<std::string> m_asked;
+    /// Keys that were read, and that finish() therefore accepts.
+    std::vector<std::string> m_readKeys;
 };
 
 } // namespace Settings::Internal
--- a/src/libs/settings/processsettings.cpp
+++ b/src/libs/settings/processsettings.cpp
@@ -11,14 +11,16 @@
 using Internal::Json;
 using Internal::ObjectReader;
 
-// A connection costs a thread with 128 KiB of stack, so this many take 4 GiB at most.
-constexpr std::int64_t mostConnections = 32768;
-constexpr std::int64_t smallestBody = 1024;
-constexpr std::int64_t largestBody = 64LL << 20;
-constexpr std::int64_t smallestStreamBuffer = 4096;
-constexpr std::int64_t largestStreamBuffer = 16LL << 20;
+/// Each connection has a thread with 128 KiB of stack, so the stacks take 4 GiB at most.
+constexpr std::int64_t maxConnections = 32768;
+/// Limits of body and buffer sizes, in bytes.
+constexpr std::int64_t minBodyBytes = 1024;
+constexpr std::int64_t maxBodyBytes = 64LL << 20;
+constexpr std::int64_t minStreamBufferBytes = 4096;
+constexpr std::int64_t maxStreamBufferBytes = 16LL << 20;
 
-/// Reads the member \a key of \a reader as an object, or reads nothing if it is missing.
+/// Calls \a read with a reader of the object \a member, which is at \a key in \a reader. Does
+/// nothing if \a member is null.
 template <typename Read>
 void readObject(ObjectReader &reader, const Json *member, const std::string &key,
                 SettingsFaults &faults, Read read)
@@ -30,19 +32,19 @@
     inner.finish();
 }
 
-std::size_t readLimit(ObjectReader &reader, const std::string &key, std::int64_t smallest,
-                      std::int64_t largest, std::size_t defaultValue)
+std::size_t readLimit(ObjectReader &reader, const std::string &key, std::int64_t min,
+                      std::int64_t max, std::size_t defaultValue)
 {
     return static_cast<std::size_t>(
-        reader.integer(key, smallest, largest, static_cast<std::int64_t>(defaultValue)));
+        reader.integer(key, min, max, static_cast<std::int64_t>(defaultValue)));
 }
 
 void readLimits(ObjectReader &reader, ProcessLimits &limits)
 {
-    limits.connections = readLimit(reader, "connections", 1, mostConnections, limits.connections);
-    limits.bodyBytes = readLimit(reader, "bodyBytes", smallestBody, largestBody, limits.bodyBytes);
-    limits.streamBufferBytes = readLimit(reader, "streamBufferBytes", smallestStreamBuffer,
-                                         largestStreamBuffer, limits.streamBufferBytes);
+    limits.connections = readLimit(reader, "connections", 1, maxConnections, limits.connections);
+    limits.bodyBytes = readLimit(reader, "bodyBytes", minBodyBytes, maxBodyBytes, limits.bodyBytes);
+    limits.streamBufferBytes = readLimit(reader, "streamBufferBytes", minStreamBufferBytes,
+                                         maxStreamBufferBytes, limits.streamBufferBytes);
 }
 
 void readSeeds(ObjectReader &reader, std::vector<SeedHost> &seeds, SettingsFaults &faults)
@@ -60,7 +62,7 @@
         const std::string host = inner.name("host");
         seeds.push_back({Base::HostId(host), inner.address("peerAddress")});
         if (!host.empty() && !seen.insert(host).second)
-            inner.addFault("host", "each host once", host + " again");
+            inner.addFault("host", "each host once", host + " a second time");
         inner.finish();
     }
 }
--- a/tests/auto/settings/tst_processsettings.cpp
+++ b/tests/auto/settings/tst_processsettings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-const std::string wholeText = R"({
+const std::string completeSettings = R"({
   // Comments are allowed.
   "host": "entry-1", "zone": "langley", "region": "lower-mainland",
   "callerAddress": "10.0.0.1:8080", "peerAddress": "10.0.0.1:9090",
@@ -31,9 +31,9 @@
 
 } // namespace
 
-TEST_CASE("A whole settings file is read")
+TEST_CASE("A complete settings file is parsed")
 {
-    const Base::Result<ProcessSettings> settings = ProcessSettings::parse(wholeText);
+    const Base::Result<ProcessSettings> settings = ProcessSettings::parse(completeSettings);
     REQUIRE(settings);
     CHECK(settings->host.value() == "entry-1");
     CHECK(settings->zone.value() == "langley");
@@ -48,10 +48,10 @@
     CHECK(settings->traceFile == "/dev/stderr");
 }
 
-TEST_CASE("Every fault of a file is told in one run")
+TEST_CASE("All faults of a file are reported in one run")
 {
-    // A new host is set up with a file that has a dozen slips. If the process told them one at
-    // a time, the host would be started a dozen times before it serves.
+    // If only the first fault were reported, a file with a dozen faults would take a dozen starts
+    // until the host serves.
     const std::vector<SettingsFault> faults = faultsOf(R"({
       "host": "", "zone": 7, "callerAddress": "router.example:80",
       "peerAddress": "10.0.0.1:70000", "platform": {"adress": "10.0.9.1:7000"},
@@ -73,10 +73,10 @@
                                       "/log/level", "/trace", "/weights"});
 }
 
-TEST_CASE("A fault tells what was expected and what was found")
+TEST_CASE("A fault states what was expected and what was found")
 {
     const auto faults =
-        faultsOf(replaced(wholeText, "\"connections\": 500", "\"connections\": -1"));
+        faultsOf(replaced(completeSettings, "\"connections\": 500", "\"connections\": -1"));
     CHECK(faults
           == std::vector<SettingsFault>{
               {"/limits/connections", "a whole number from 1 to 32768", "-1"}});
@@ -84,39 +84,40 @@
           == "/limits/connections: expected a whole number from 1 to 32768, found -1");
 }
 
-TEST_CASE("Numbers past every integer are out of range and do not wrap")
+TEST_CASE("Numbers beyond the range of integers are rejected and do not wrap around")
 {
     for (const std::string number : {"18446744073709551615", "9223372036854775809", "1e300", "2.5"})
-        CHECK(faultsOf(replaced(wholeText, "500", number)).at(0).pointer == "/limits/connections");
+        CHECK(faultsOf(replaced(completeSettings, "500", number)).at(0).pointer
+              == "/limits/connections");
 }
 
-TEST_CASE("A key that stands twice is a fault, also within an array")
+TEST_CASE("A duplicate key is a fault, also in an object within an array")
 {
-    const auto faults =
-        faultsOf(replaced(wholeText, "\"host\": \"entry-2\"", "\"host\": \"x\", \"host\": \"y\""));
+    const auto faults = faultsOf(
+        replaced(completeSettings, "\"host\": \"entry-2\"", "\"host\": \"x\", \"host\": \"y\""));
     CHECK(faults
-          == std::vector<SettingsFault>{{"/seeds/0/host", "each key once", "the key again"}});
+          == std::vector<SettingsFault>{{"/seeds/0/host", "each key once", "a duplicate key"}});
 }
 
-TEST_CASE("Keys are escaped in the pointer")
+TEST_CASE("Keys are escaped in JSON pointers")
 {
-    const auto faults = faultsOf(replaced(wholeText, "\"log\":", "\"a/b~c\": 1, \"log\":"));
+    const auto faults = faultsOf(replaced(completeSettings, "\"log\":", "\"a/b~c\": 1, \"log\":"));
     REQUIRE(faults.size() == 1);
     CHECK(faults[0].pointer == "/a~1b~0c");
 }
 
-TEST_CASE("Seeds that name a host twice and two addresses that are one are faults")
+TEST_CASE("Duplicate seed hosts and equal addresses are faults")
 {
-    const auto seeds = faultsOf(
-        replaced(wholeText, "[{", "[{\"host\": \"entry-2\", \"peerAddress\": \"10.0.0.3:1\"}, {"));
+    const auto seeds = faultsOf(replaced(
+        completeSettings, "[{", "[{\"host\": \"entry-2\", \"peerAddress\": \"10.0.0.3:1\"}, {"));
     REQUIRE(seeds.size() == 1);
     CHECK(seeds[0].pointer == "/seeds/1/host");
-    const auto addresses = faultsOf(replaced(wholeText, "10.0.0.1:9090", "10.0.0.1:8080"));
+    const auto addresses = faultsOf(replaced(completeSettings, "10.0.0.1:9090", "10.0.0.1:8080"));
     REQUIRE(addresses.size() == 1);
     CHECK(addresses[0].pointer == "/peerAddress");
 }
 
-TEST_CASE("A text that is no JSON is one fault of the whole text")
+TEST_CASE("Text that is not JSON is one fault of the whole text")
 {
     for (const std::string text : {"", "{", "nul", "{\"host\": 1e999}", "\xff\xfe", "[1,]"}) {
         const auto faults = faultsOf(text);
@@ -126,7 +127,7 @@
     CHECK(faultsOf("[]").at(0).expected == "an object");
 }
 
-TEST_CASE("Addresses are IPv4 numbers with a port")
+TEST_CASE("Addresses are IPv4 addresses with a port")
 {
     for (const std::string text : {"127.0.0.1:1", "0.0.0.0:65535"})
         CHECK(Settings::toString(Settings::parseAddress(text).value()) == text);
@@ -139,9 +140,9 @@
 
 TEST_CASE("Any bytes give settings or typed faults")
 {
-    rc::prop("of no form", [](const std::string &text) { faultsOf(text); });
-    rc::prop("in a whole file with some bytes changed", [] {
-        std::string text = wholeText;
+    rc::prop("arbitrary bytes", [](const std::string &text) { faultsOf(text); });
+    rc::prop("a complete file with some bytes changed", [] {
+        std::string text = completeSettings;
         const auto changes = *rc::gen::inRange(1, 6);
         for (int i = 0; i < changes; ++i)
             text[*rc::gen::inRange<std::size_t>(0, text.size())] = *rc::gen::arbitrary<char>();
@@ -150,9 +151,9 @@
     });
 }
 
-TEST_CASE("Deep nesting is a fault and no crash")
+TEST_CASE("Deep nesting is a fault and does not crash")
 {
     const std::string deep = std::string(200000, '[') + std::string(200000, ']');
     CHECK(faultsOf(deep).size() == 1);
-    CHECK_FALSE(faultsOf(replaced(wholeText, "\"entry-1\"", deep)).empty());
+    CHECK_FALSE(faultsOf(replaced(completeSettings, "\"entry-1\"", deep)).empty());
 }
