--- a/src/libs/settings/processsettings.h
+++ b/src/libs/settings/processsettings.h
@@ -12,9 +12,10 @@
 
 namespace Settings {
 
+/// Lowest severity that is logged.
 enum class LogLevel { Debug, Info, Warn, Error };
 
-/// Another router that is asked for the fleet's state at a start.
+/// Another router, from which a starting router learns the state of the fleet.
 struct SeedHost
 {
     Base::HostId host;
@@ -23,23 +24,23 @@
     bool operator==(const SeedHost &) const = default;
 };
 
-/// Bounds on what one process holds. Past them callers get a refusal.
+/// Resource limits of one process. Requests beyond a limit are refused.
 struct ProcessLimits
 {
-    /// Connections of callers at once.
+    /// Concurrent connections of callers.
     std::size_t connections = 2000;
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     std::size_t bodyBytes = 1U << 20;
-    /// Of one answer that its caller has not read yet, in bytes.
+    /// Maximum size of the part of one answer that its caller has not read yet, in bytes.
     std::size_t streamBufferBytes = 256U << 10;
 
     bool operator==(const ProcessLimits &) const = default;
 };
 
-/// What one router process is started with: its place, its addresses, its limits.
+/// The settings that one router process is started with: its location, addresses and limits.
 ///
-/// Kept apart from the configuration (targets and customers), which lives in the platform's
-/// table. Nothing here sets a weight or names a host for work.
+/// They are separate from the configuration (targets and customers), which is stored in the
+/// platform's table. No setting here assigns weights or hosts to work.
 struct ProcessSettings
 {
     Base::HostId host;
@@ -51,13 +52,13 @@
     std::vector<SeedHost> seeds;
     ProcessLimits limits;
     LogLevel logLevel = LogLevel::Info;
-    /// Where spans go, as JSON lines; empty for nowhere.
+    /// File that spans are written to, as JSON lines; empty disables tracing.
     std::string traceFile;
 
     bool operator==(const ProcessSettings &) const = default;
 
-    /// Reads a settings file's \a text. Fails with SettingsFaults, which has every fault of the
-    /// text. Any bytes are safe.
+    /// Parses the \a text of a settings file. Fails with SettingsFaults, which lists every fault of
+    /// the text. \a text may contain any bytes.
     static Base::Result<ProcessSettings> parse(std::string_view text);
 };
 
