--- a/src/libs/settings/targetbody.cpp
+++ b/src/libs/settings/targetbody.cpp
@@ -9,10 +9,12 @@
 using Internal::Json;
 using Internal::ObjectReader;
 
-constexpr std::int64_t smallestStartWithin = 1;
-/// An hour: a class that may wait longer is not served by a request that is kept open.
-constexpr std::int64_t largestStartWithin = 3'600'000;
-constexpr char claimText[] = "a number above 0 and at most 1";
+/// Milliseconds.
+constexpr std::int64_t minStartWithinMs = 1;
+/// One hour, in milliseconds. A class with a longer target does not suit a synchronous HTTP
+/// request.
+constexpr std::int64_t maxStartWithinMs = 3'600'000;
+constexpr char expectedClaim[] = "a number above 0 and at most 1";
 
 void readClaim(ObjectReader &reader, ClassTarget &target)
 {
@@ -22,7 +24,7 @@
     if (member->is_number() && member->get<double>() > 0 && member->get<double>() <= 1)
         target.claim = member->get<double>();
     else
-        reader.addFault("claim", claimText, Internal::describe(*member));
+        reader.addFault("claim", expectedClaim, Internal::describe(*member));
 }
 
 } // namespace
@@ -38,7 +40,7 @@
     ObjectReader reader(*json, Json::json_pointer(), faults);
     reader.required("startWithinMs", "a time in milliseconds");
     target.startWithin = Base::Milliseconds(reader.integer(
-        "startWithinMs", smallestStartWithin, largestStartWithin, target.startWithin.count()));
+        "startWithinMs", minStartWithinMs, maxStartWithinMs, target.startWithin.count()));
     readClaim(reader, target);
     reader.finish();
     if (!faults.faults.empty())
--- a/src/libs/settings/targetbody.h
+++ b/src/libs/settings/targetbody.h
@@ -9,9 +9,9 @@
 
 namespace Settings {
 
-/// Reads the body of an operator's PUT /v1/targets/<class>: {"startWithinMs":N,"claim":0.5},
-/// of which the claim may be missing. Fails with SettingsFaults, which has every fault; any
-/// bytes are safe.
+/// Parses the body of an operator's PUT /v1/targets/<class>: {"startWithinMs":N,"claim":0.5}. The
+/// claim is optional. Fails with SettingsFaults, which lists every fault; \a body may contain any
+/// bytes.
 Base::Result<ClassTarget> parseTargetBody(const Base::ClassId &name, std::string_view body);
 
 } // namespace Settings
--- a/tests/auto/settings/tst_targetbody.cpp
+++ b/tests/auto/settings/tst_targetbody.cpp
@@ -15,17 +15,17 @@
 
 } // namespace
 
-TEST_CASE("An operator's target is read, with and without a claim")
+TEST_CASE("A target is parsed with and without a claim")
 {
-    const auto whole = Settings::parseTargetBody(chat, R"({"startWithinMs":800,"claim":0.25})");
-    REQUIRE(whole);
-    CHECK(*whole == Settings::ClassTarget{chat, Base::Milliseconds(800), 0.25});
-    const auto bare = Settings::parseTargetBody(chat, R"({"startWithinMs":800})");
-    REQUIRE(bare);
-    CHECK_FALSE(bare->claim);
+    const auto withClaim = Settings::parseTargetBody(chat, R"({"startWithinMs":800,"claim":0.25})");
+    REQUIRE(withClaim);
+    CHECK(*withClaim == Settings::ClassTarget{chat, Base::Milliseconds(800), 0.25});
+    const auto withoutClaim = Settings::parseTargetBody(chat, R"({"startWithinMs":800})");
+    REQUIRE(withoutClaim);
+    CHECK_FALSE(withoutClaim->claim);
 }
 
-TEST_CASE("Every fault of a target is told")
+TEST_CASE("All faults of a target are reported")
 {
     const auto faults = faultsOf(R"({"startWithinMs":0,"claim":1.5,"weight":2})");
     REQUIRE(faults.size() == 3);
@@ -37,7 +37,7 @@
         CHECK(faultsOf("{\"startWithinMs\":1,\"claim\":" + claim + "}").size() == 1);
 }
 
-TEST_CASE("Any bytes give a target or typed faults, and a target is in range")
+TEST_CASE("Any bytes give typed faults or a target that is in range")
 {
     rc::prop("any bytes", [](const std::string &body) { faultsOf(body); });
     rc::prop("any numbers", [](std::int64_t start, double claim) {
