--- a/src/libs/settings/configuration.cpp
+++ b/src/libs/settings/configuration.cpp
@@ -23,7 +23,7 @@
 
 void Configuration::insert(const Customer &customer)
 {
-    forgetDigest(customer.id);
+    removeDigest(customer.id);
     m_customers[customer.id] = customer;
     m_customerByDigest[customer.keyDigest] = customer.id;
 }
@@ -40,18 +40,18 @@
     if (const auto *removed = std::get_if<RemoveClass>(&change.what))
         m_targets.erase(removed->name);
     if (const auto *removed = std::get_if<RemoveCustomer>(&change.what)) {
-        forgetDigest(removed->id);
+        removeDigest(removed->id);
         m_customers.erase(removed->id);
     }
     return true;
 }
 
-void Configuration::forgetDigest(const Base::CustomerId &id)
+void Configuration::removeDigest(const Base::CustomerId &id)
 {
     const auto customer = m_customers.find(id);
     if (customer == m_customers.end())
         return;
-    // Another customer may have been given the same key since; it keeps it.
+    // If another customer has been given the same key since, the digest stays with that customer.
     const auto digest = m_customerByDigest.find(customer->second.keyDigest);
     if (digest != m_customerByDigest.end() && digest->second == id)
         m_customerByDigest.erase(digest);
