--- a/src/libs/settings/changecodec.cpp
+++ b/src/libs/settings/changecodec.cpp
@@ -38,25 +38,25 @@
     }
 };
 
-std::string textOf(const Json &json, const char *key)
+std::string stringMember(const Json &json, const char *key)
 {
     const auto it = json.find(key);
     return it != json.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-/// A name that is not UTF-8 would throw here; it is written with replacement characters.
+/// Returns the text of \a json. Bytes that are not UTF-8 are replaced; by default they would throw.
 std::string dump(const Json &json)
 {
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-Base::Result<ConfigurationChange> changeOf(ConfigurationVersion version, const Json &json)
+Base::Result<ConfigurationChange> decodeChangeJson(ConfigurationVersion version, const Json &json)
 {
     if (!json.is_object())
         return boost::leaf::new_error(MalformedChange{version});
-    const std::string kind = textOf(json, "kind");
-    const std::string className = textOf(json, "class");
-    const std::string customer = textOf(json, "customer");
+    const std::string kind = stringMember(json, "kind");
+    const std::string className = stringMember(json, "class");
+    const std::string customer = stringMember(json, "customer");
     ConfigurationChange change;
     change.version = version;
     if (kind == "removeClass" && !className.empty()) {
@@ -68,7 +68,7 @@
         return change;
     }
     if (kind == "customer" && !customer.empty()) {
-        change.what = Customer{Base::CustomerId(customer), textOf(json, "keyDigest")};
+        change.what = Customer{Base::CustomerId(customer), stringMember(json, "keyDigest")};
         return change;
     }
     const auto startWithin = json.find("startWithinMs");
@@ -85,14 +85,14 @@
     return change;
 }
 
-Json withVersion(const ConfigurationChange &change)
+Json encodeWithVersion(const ConfigurationChange &change)
 {
     Json json = std::visit(ToJson(), change.what);
     json["version"] = change.version;
     return json;
 }
 
-std::optional<ConfigurationVersion> versionOf(const Json &json)
+std::optional<ConfigurationVersion> versionMember(const Json &json)
 {
     if (!json.is_object())
         return std::nullopt;
@@ -115,35 +115,35 @@
 std::string tokenOf(const std::string &text)
 {
     const Json json = Json::parse(text, nullptr, false);
-    return json.is_object() ? textOf(json, "token") : std::string();
+    return json.is_object() ? stringMember(json, "token") : std::string();
 }
 
 Base::Result<ConfigurationChange> decodeChange(ConfigurationVersion version,
                                                const std::string &text)
 {
-    return changeOf(version, Json::parse(text, nullptr, false));
+    return decodeChangeJson(version, Json::parse(text, nullptr, false));
 }
 
 std::string encodeConfiguration(const Configuration &configuration)
 {
     Json entries = Json::array();
     for (const auto &[name, target] : configuration.targets())
-        entries.push_back(withVersion({target.version, target.target}));
+        entries.push_back(encodeWithVersion({target.version, target.target}));
     for (const auto &[id, customer] : configuration.customers())
-        entries.push_back(withVersion({configuration.version(), customer}));
+        entries.push_back(encodeWithVersion({configuration.version(), customer}));
     return dump({{"version", configuration.version()}, {"entries", entries}});
 }
 
 Base::Result<Configuration> decodeConfiguration(const std::string &text)
 {
     const Json json = Json::parse(text, nullptr, false);
-    const std::optional<ConfigurationVersion> version = versionOf(json);
+    const std::optional<ConfigurationVersion> version = versionMember(json);
     if (!version || !json.contains("entries") || !json["entries"].is_array())
         return boost::leaf::new_error(MalformedChange{});
     Configuration configuration;
     configuration.setVersion(*version);
     for (const Json &entry : json["entries"]) {
-        BOOST_LEAF_AUTO(change, changeOf(versionOf(entry).value_or(0), entry));
+        BOOST_LEAF_AUTO(change, decodeChangeJson(versionMember(entry).value_or(0), entry));
         if (const auto *target = std::get_if<ClassTarget>(&change.what))
             configuration.insert(VersionedTarget{*target, change.version});
         if (const auto *customer = std::get_if<Customer>(&change.what))
--- a/tests/auto/settings/tst_configuration.cpp
+++ b/tests/auto/settings/tst_configuration.cpp
@@ -9,40 +9,40 @@
 
 using namespace Settings;
 
-std::string arbitraryName()
+std::string randomName()
 {
     return "n" + std::to_string(*rc::gen::inRange(0, 5));
 }
 
-ConfigurationChange arbitraryChange(ConfigurationVersion version)
+ConfigurationChange randomChange(ConfigurationVersion version)
 {
     switch (*rc::gen::inRange(0, 5)) {
     case 0:
-        return {version, RemoveClass{Base::ClassId(arbitraryName())}};
+        return {version, RemoveClass{Base::ClassId(randomName())}};
     case 1:
-        return {version, RemoveCustomer{Base::CustomerId(arbitraryName())}};
+        return {version, RemoveCustomer{Base::CustomerId(randomName())}};
     case 2:
-        return {version, Customer{Base::CustomerId(arbitraryName()),
+        return {version, Customer{Base::CustomerId(randomName()),
                                   "d" + std::to_string(*rc::gen::inRange(0, 3))}};
     case 3:
         return {version,
-                ClassTarget{Base::ClassId(arbitraryName()),
+                ClassTarget{Base::ClassId(randomName()),
                             Base::Milliseconds(*rc::gen::inRange(1, 90000)), std::nullopt}};
     default:
-        return {version, ClassTarget{Base::ClassId(arbitraryName()), Base::Milliseconds(1000),
+        return {version, ClassTarget{Base::ClassId(randomName()), Base::Milliseconds(1000),
                                      *rc::gen::inRange(1, 100) / 100.0}};
     }
 }
 
 } // namespace
 
-TEST_CASE("changes and whole configurations come back from their text", "[configuration]")
+TEST_CASE("changes and whole configurations survive encoding and decoding", "[configuration]")
 {
     rc::prop("round trip", [] {
         Configuration configuration;
         const auto count = *rc::gen::inRange<ConfigurationVersion>(0, 40);
         for (ConfigurationVersion version = 1; version <= count; ++version) {
-            const ConfigurationChange change = arbitraryChange(version);
+            const ConfigurationChange change = randomChange(version);
             const std::string text = encodeChange(change, "r1-7-3");
             RC_ASSERT(*decodeChange(version, text) == change);
             RC_ASSERT(tokenOf(text) == "r1-7-3");
@@ -50,18 +50,18 @@
             RC_ASSERT(configuration.apply(change));
             RC_ASSERT(!configuration.apply(change));
         }
-        const Configuration back = *decodeConfiguration(encodeConfiguration(configuration));
-        RC_ASSERT(back.version() == configuration.version());
-        RC_ASSERT(back.targets() == configuration.targets());
-        RC_ASSERT(back.customers() == configuration.customers());
+        const Configuration decoded = *decodeConfiguration(encodeConfiguration(configuration));
+        RC_ASSERT(decoded.version() == configuration.version());
+        RC_ASSERT(decoded.targets() == configuration.targets());
+        RC_ASSERT(decoded.customers() == configuration.customers());
     });
 }
 
-TEST_CASE("any bytes in a row or an object are safe", "[configuration]")
+TEST_CASE("a row or an object with any bytes can be decoded safely", "[configuration]")
 {
-    rc::prop("broken text is a typed error or a change", [] {
+    rc::prop("corrupted text gives a typed error or a change", [] {
         std::string text = *rc::gen::element<std::string>(
-            encodeChange(arbitraryChange(1), "token"),
+            encodeChange(randomChange(1), "token"),
             R"({"version":3,"entries":[{"version":2,"kind":"target"}]})",
             R"({"version":-1,"entries":[7]})", R"({"entries":{}})");
         const int changes = *rc::gen::inRange(0, 4);
@@ -78,18 +78,17 @@
     });
 }
 
-TEST_CASE("a name that is not UTF-8 is written with a replacement and does no harm",
-          "[configuration]")
+TEST_CASE("bytes of a name that are not UTF-8 are replaced when it is encoded", "[configuration]")
 {
     const ConfigurationChange change{1, ClassTarget{Base::ClassId("a\xff"), {}, std::nullopt}};
-    const auto back = decodeChange(1, encodeChange(change));
-    REQUIRE(back);
-    CHECK(std::get<ClassTarget>(back->what).name == Base::ClassId("a\xEF\xBF\xBD"));
+    const auto decoded = decodeChange(1, encodeChange(change));
+    REQUIRE(decoded);
+    CHECK(std::get<ClassTarget>(decoded->what).name == Base::ClassId("a\xEF\xBF\xBD"));
 }
 
-// Two customers are given one key by mistake, and the first is then removed. The second must
-// still be let in.
-TEST_CASE("a key digest that another customer has taken over stays with it", "[configuration]")
+// Guards against a customer that is locked out because another customer, which had been given the
+// same key by mistake, is removed.
+TEST_CASE("a key digest stays with the customer that was given the key last", "[configuration]")
 {
     Configuration configuration;
     configuration.apply({1, Customer{Base::CustomerId("a"), "d"}});
@@ -102,7 +101,7 @@
     CHECK(configuration.customerByKeyDigest("e"));
 }
 
-TEST_CASE("change keys sort like versions and are read back", "[configuration]")
+TEST_CASE("change keys sort like versions and can be parsed", "[configuration]")
 {
     rc::prop("keys", [] {
         const auto a = *rc::gen::inRange<ConfigurationVersion>(1, 1ull << 50);
