--- a/src/libs/base/boundedring.h
+++ b/src/libs/base/boundedring.h
@@ -11,41 +11,43 @@
 
 namespace Base {
 
-/// A bounded first-in, first-out ring that joins two threads of the daemon.
+/// A bounded, blocking FIFO queue between threads, stored in a ring buffer.
 ///
-/// Guards against unbounded memory when the reader is slower than the writers: a full ring
-/// makes push() wait and tryPush() fail, so the load is seen where it arises.
+/// It bounds the memory if the reader is slower than the writers: when the ring is full, push()
+/// blocks and tryPush() fails, which applies backpressure to the writers.
 template <typename T>
 class BoundedRing
 {
 public:
-    /// \a capacity is in elements and at least 1.
+    /// \a capacity is in elements; 0 counts as 1.
     explicit BoundedRing(std::size_t capacity)
         : m_slots(capacity == 0 ? 1 : capacity)
     {}
 
-    /// Waits while the ring is full. Returns false once the ring is closed.
+    /// Appends \a value; waits while the ring is full. Returns false once the ring is closed.
     bool push(T value)
     {
         std::unique_lock lock(m_mutex);
         m_notFull.wait(lock, [this] { return m_closed || m_count < m_slots.size(); });
         if (m_closed)
             return false;
-        place(std::move(value));
+        append(std::move(value));
         return true;
     }
 
-    /// Returns false when the ring is full or closed; \a value is then unchanged.
+    /// Appends \a value without waiting. Returns false if the ring is full or closed; \a value is
+    /// then unchanged.
     bool tryPush(T &value)
     {
         const std::lock_guard lock(m_mutex);
         if (m_closed || m_count == m_slots.size())
             return false;
-        place(std::move(value));
+        append(std::move(value));
         return true;
     }
 
-    /// Waits at most \a limit. Empty after the limit, or once closed and drained.
+    /// Removes the first element; waits at most \a limit for one. Returns nothing after the limit
+    /// or if the ring is closed and empty.
     std::optional<T> popFor(Duration limit)
     {
         std::unique_lock lock(m_mutex);
@@ -60,7 +62,7 @@
         return value;
     }
 
-    /// Wakes every waiter. What is in the ring can still be popped.
+    /// Closes the ring and wakes every waiting thread. Elements in the ring can still be popped.
     void close()
     {
         const std::lock_guard lock(m_mutex);
@@ -82,7 +84,8 @@
     }
 
 private:
-    void place(T &&value)
+    /// Appends \a value; the caller holds the lock and has checked that there is room.
+    void append(T &&value)
     {
         m_slots[(m_head + m_count) % m_slots.size()].emplace(std::move(value));
         ++m_count;
--- a/tests/auto/base/tst_boundedring.cpp
+++ b/tests/auto/base/tst_boundedring.cpp
@@ -5,9 +5,9 @@
 
 #include <deque>
 
-TEST_CASE("a bounded ring keeps order and never exceeds its capacity", "[base]")
+TEST_CASE("a bounded ring keeps the order and its capacity", "[base]")
 {
-    rc::prop("agrees with an ordinary queue", [](const std::vector<bool> &steps) {
+    rc::prop("behaves like a std::deque of bounded size", [](const std::vector<bool> &steps) {
         constexpr std::size_t capacity = 3;
         Base::BoundedRing<int> ring(capacity);
         std::deque<int> expected;
@@ -15,9 +15,9 @@
         for (const bool isPush : steps) {
             if (isPush) {
                 int value = ++n;
-                const bool isTaken = ring.tryPush(value);
-                RC_ASSERT(isTaken == (expected.size() < capacity));
-                if (isTaken)
+                const bool isPushed = ring.tryPush(value);
+                RC_ASSERT(isPushed == (expected.size() < capacity));
+                if (isPushed)
                     expected.push_back(n);
                 continue;
             }
