--- a/src/libs/base/hash.h
+++ b/src/libs/base/hash.h
@@ -5,9 +5,9 @@
 
 namespace Base {
 
-/// 64-bit hash, the same on every host and in every version (XXH3).
+/// Returns a 64-bit hash of \a data (XXH3), which is the same on every host and in every version.
 std::uint64_t stableHash(std::string_view data);
-/// As above, mixed with \a seed.
+/// Returns the same kind of hash, which also depends on \a seed.
 std::uint64_t stableHash(std::string_view data, std::uint64_t seed);
 
 } // namespace Base
--- a/src/libs/base/ids.h
+++ b/src/libs/base/ids.h
@@ -8,7 +8,8 @@
 
 namespace Base {
 
-/// A name that cannot be mixed up with a name of another kind.
+/// An identifier whose type differs for each kind of named object, so that kinds cannot be
+/// confused.
 template <typename Tag>
 class StrongId
 {
@@ -27,24 +28,29 @@
     std::string m_value;
 };
 
-/// A router process's host, as the platform's host list names it.
+/// The host of a router process, named as in the platform's list of hosts.
 using HostId = StrongId<struct HostTag>;
-/// A backend server: a model server or an application server.
+/// A backend server, which is a model server or an application server.
 using ServerId = StrongId<struct ServerTag>;
+/// An availability zone.
 using ZoneId = StrongId<struct ZoneTag>;
 using RegionId = StrongId<struct RegionTag>;
+/// A customer, that is, a tenant with its own key and share of the service.
 using CustomerId = StrongId<struct CustomerTag>;
+/// A class of work, which has a target for the start of answers.
 using ClassId = StrongId<struct ClassTag>;
-/// The servers that can stand in for one another: those of one model ("model/NAME")
-/// or of one plain service ("service/NAME").
+/// A pool: the interchangeable backend servers of one model ("model/NAME") or of one other service
+/// ("service/NAME").
 using PoolId = StrongId<struct PoolTag>;
 
-/// Distinguishes the starts of one host; a later start has a larger number.
+/// Number of a start of a host; a later start has a larger number.
 using Incarnation = std::uint64_t;
-/// Weighed service: prompt tokens count once, generated tokens GeneratedTokenWeight times.
+/// Weighted amount of service, in tokens: prompt tokens count once, generated
+/// tokens Node::generatedTokenWeight times.
 using ServiceUnits = std::uint64_t;
 
-/// Names one request in the whole fleet: its entry host, that host's start, a serial number.
+/// Identifies one request in the whole fleet by its entry host, which received it from the caller,
+/// the start of that host, and a serial number.
 struct RequestKey
 {
     HostId entry;
@@ -55,7 +61,7 @@
     bool operator==(const RequestKey &) const = default;
 };
 
-/// Text form for logs, traces and callers: "entry-incarnation-serial".
+/// Returns "entry-incarnation-serial" for logs, traces and callers.
 std::string toString(const RequestKey &key);
 
 } // namespace Base
--- a/src/libs/base/random.h
+++ b/src/libs/base/random.h
@@ -5,14 +5,16 @@
 
 namespace Base {
 
-/// Source of random numbers; a test gives a seeded one.
+/// Source of random numbers; tests pass a seeded one to be repeatable.
 class RandomSource
 {
 public:
     virtual ~RandomSource() = default;
+    /// Returns the next number, uniformly distributed over all values.
     virtual std::uint64_t next() = 0;
 };
 
+/// Pseudo-random numbers that depend only on the seed.
 class SeededRandom final : public RandomSource
 {
 public:
--- a/src/libs/base/result.h
+++ b/src/libs/base/result.h
@@ -6,8 +6,8 @@
 
 namespace Base {
 
-/// What every static factory function returns. Errors are typed objects, loaded with
-/// boost::leaf::new_error; no failure is a bare string.
+/// Result of a function that can fail, such as a static factory function. Errors are typed objects
+/// that are passed to boost::leaf::new_error(), not plain strings.
 template <typename T>
 using Result = boost::leaf::result<T>;
 
