--- a/src/libs/tracing/traceparent.cpp
+++ b/src/libs/tracing/traceparent.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-// "VV-TTTTTTTTTTTTTTTTTTTTTTTTTTTTTTTT-SSSSSSSSSSSSSSSS-FF"
+// Layout of the header: "VV-TTTTTTTTTTTTTTTTTTTTTTTTTTTTTTTT-SSSSSSSSSSSSSSSS-FF"
 constexpr std::size_t headerLength = 55;
-constexpr std::size_t traceIdPlace = 3;
-constexpr std::size_t spanIdPlace = 36;
-constexpr std::size_t flagsPlace = 53;
+constexpr std::size_t traceIdOffset = 3;
+constexpr std::size_t spanIdOffset = 36;
+constexpr std::size_t flagsOffset = 53;
 constexpr std::size_t idDigits = 16;
 constexpr std::size_t byteDigits = 2;
 constexpr std::uint64_t invalidVersion = 0xFF;
 
-/// Lower-case hexadecimal digits only, as the standard demands.
+/// Parses hexadecimal digits, which must be lower-case as the standard requires.
 std::optional<std::uint64_t> readHex(std::string_view text)
 {
     const auto isDigit = [](char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f'); };
@@ -41,21 +41,21 @@
 
 Base::Result<TraceParent> TraceParent::parse(std::string_view text)
 {
-    const bool hasDashes = text.size() >= headerLength && text[traceIdPlace - 1] == '-'
-                           && text[spanIdPlace - 1] == '-' && text[flagsPlace - 1] == '-';
+    const bool hasDashes = text.size() >= headerLength && text[traceIdOffset - 1] == '-'
+                           && text[spanIdOffset - 1] == '-' && text[flagsOffset - 1] == '-';
     if (!hasDashes)
         return boost::leaf::new_error(MalformedTraceParent());
     const auto version = readHex(text.substr(0, byteDigits));
-    const auto high = readHex(text.substr(traceIdPlace, idDigits));
-    const auto low = readHex(text.substr(traceIdPlace + idDigits, idDigits));
-    const auto span = readHex(text.substr(spanIdPlace, idDigits));
-    const auto flags = readHex(text.substr(flagsPlace, byteDigits));
+    const auto high = readHex(text.substr(traceIdOffset, idDigits));
+    const auto low = readHex(text.substr(traceIdOffset + idDigits, idDigits));
+    const auto span = readHex(text.substr(spanIdOffset, idDigits));
+    const auto flags = readHex(text.substr(flagsOffset, byteDigits));
     if (!version || !high || !low || !span || !flags || *version == invalidVersion)
         return boost::leaf::new_error(MalformedTraceParent());
     const bool isLonger = text.size() > headerLength;
-    const bool isLongerAllowed = *version > 0 && isLonger && text[headerLength] == '-';
+    const bool hasOtherFields = *version > 0 && isLonger && text[headerLength] == '-';
     const bool isZero = (*high == 0 && *low == 0) || *span == 0;
-    if (isZero || (isLonger && !isLongerAllowed))
+    if (isZero || (isLonger && !hasOtherFields))
         return boost::leaf::new_error(MalformedTraceParent());
     return TraceParent{*high, *low, *span, static_cast<std::uint8_t>(*flags)};
 }
