--- a/src/libs/tracing/linesink.h
+++ b/src/libs/tracing/linesink.h
@@ -8,25 +8,26 @@
 
 namespace Tracing {
 
-/// Where the lines of a trace go. Called by one thread.
+/// Output for the lines of a trace. It is used by one thread only.
 class LineSink
 {
 public:
     virtual ~LineSink() = default;
+    /// Writes one \a line, which has no line feed.
     virtual void write(const std::string &line) = 0;
 };
 
-/// The file cannot be opened for writing.
+/// Error: the file cannot be opened for writing.
 struct CannotOpenTraceFile
 {
     std::string file;
 };
 
-/// Appends lines to a file, a pipe or /dev/stderr. Each line is handed to the system at once.
+/// Appends lines to a file, a pipe or /dev/stderr, and flushes after each line.
 class FileLineSink final : public LineSink
 {
 public:
-    /// Fails with CannotOpenTraceFile.
+    /// Opens \a file. Fails with CannotOpenTraceFile.
     static Base::Result<std::unique_ptr<FileLineSink>> open(const std::string &file);
     void write(const std::string &line) override;
 
--- a/src/libs/tracing/spanrecord.h
+++ b/src/libs/tracing/spanrecord.h
@@ -15,9 +15,9 @@
 /// One finished span.
 struct SpanRecord
 {
-    /// Its own place in its trace.
+    /// Trace and id of the span.
     TraceParent context;
-    /// Span it is a child of; 0 for none.
+    /// Id of the parent span; 0 if there is none.
     std::uint64_t parentId = 0;
     std::string name;
     Base::WallTime start;
@@ -25,7 +25,7 @@
     std::map<std::string, TagValue> tags;
 };
 
-/// One line of JSON, without the line feed. Bytes that are not UTF-8 are replaced.
+/// Returns one line of JSON without a line feed. Bytes that are not UTF-8 are replaced.
 std::string toJsonLine(const SpanRecord &span);
 
 } // namespace Tracing
--- a/src/libs/tracing/spanrecorder.cpp
+++ b/src/libs/tracing/spanrecorder.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+/// Longest wait for a span before the thread checks whether the ring is closed.
 constexpr Base::Duration popInterval = std::chrono::seconds(1);
 
 } // namespace
--- a/src/libs/tracing/spanrecorder.h
+++ b/src/libs/tracing/spanrecorder.h
@@ -12,26 +12,27 @@
 
 namespace Tracing {
 
-/// Spans that wait for the writer; at four spans a request that is 2,000 requests.
+/// Maximum number of spans that wait for the writer: 2,000 requests with four spans each.
 inline constexpr std::size_t spanRingCapacity = 8192;
 
-/// Writes spans on a thread of its own.
+/// Writes finished spans to a sink on its own thread.
 ///
-/// Guards against a trace file that is slow or stuck, such as a pipe whose reader has stopped:
-/// without the ring every request would wait for it. A full ring drops the span and counts it,
-/// so tracing can lose a span and never holds up an answer.
+/// A trace file may be slow or block, for example a pipe whose reader has stopped. Requests do not
+/// wait for it: if the ring of waiting spans is full, the span is dropped and counted.
 class SpanRecorder
 {
 public:
     explicit SpanRecorder(std::unique_ptr<LineSink> sink, std::size_t capacity = spanRingCapacity);
-    /// Writes what is waiting.
+    /// Writes all waiting spans before it returns.
     ~SpanRecorder();
     SpanRecorder(const SpanRecorder &) = delete;
     SpanRecorder &operator=(const SpanRecorder &) = delete;
 
-    /// Any thread; never waits for the sink.
+    /// Queues \a span, or drops it if the ring is full. Thread-safe; does not wait for the sink.
     void record(SpanRecord span);
+    /// Returns the number of dropped spans.
     std::uint64_t dropped() const { return m_dropped; }
+    /// Returns the number of queued and written spans.
     std::uint64_t recorded() const { return m_recorded; }
 
 private:
