--- a/src/app/nodetraces.cpp
+++ b/src/app/nodetraces.cpp
@@ -58,7 +58,7 @@
     for (const Node::HopRecord &hop : hops) {
         if (hop.hop != Node::Hop::Entry)
             continue;
-        const auto caller = Tracing::RecordingTracer::contextOf(hop.traceparent);
+        const auto caller = Tracing::RecordingTracer::contextFromHeader(hop.traceparent);
         entry = startSpan(*m_tracer, hop, caller.get());
         entry->SetTag("customer", record.customer.value());
         entry->SetTag("class", record.workClass.value());
--- a/src/libs/tracing/recordingspan.h
+++ b/src/libs/tracing/recordingspan.h
@@ -10,6 +10,7 @@
 
 namespace Tracing::Internal {
 
+/// The OpenTracing context of a span or of a caller's traceparent header.
 class RecordingContext final : public opentracing::SpanContext
 {
 public:
@@ -30,7 +31,7 @@
     TraceParent m_parent;
 };
 
-/// Recorded when it is finished, or when it is destroyed unfinished.
+/// A span that is recorded when it is finished, at the latest by its destructor.
 class RecordingSpan final : public opentracing::Span
 {
 public:
@@ -66,7 +67,7 @@
     bool m_isFinished = false;
 };
 
-/// Lists and dictionaries are told by their kind alone.
+/// Converts \a value. A list becomes the text "list" and a dictionary the text "dictionary".
 TagValue toTagValue(const opentracing::Value &value);
 
 } // namespace Tracing::Internal
--- a/src/libs/tracing/recordingtracer.cpp
+++ b/src/libs/tracing/recordingtracer.cpp
@@ -17,14 +17,15 @@
 using opentracing::string_view;
 
 constexpr char headerName[] = "traceparent";
-constexpr std::size_t largestHeader = 512;
+/// Bytes of a binary carrier that are read.
+constexpr std::size_t maxHeaderSize = 512;
 
 bool isHeaderName(string_view key)
 {
     if (key.size() != sizeof headerName - 1)
         return false;
     for (std::size_t i = 0; i < key.size(); ++i) {
-        // Header names know no case.
+        // Header names are case-insensitive.
         const char c = key[i] >= 'A' && key[i] <= 'Z' ? static_cast<char>(key[i] + 32) : key[i];
         if (c != headerName[i])
             return false;
@@ -35,9 +36,9 @@
 const TraceParent *parentOf(const opentracing::StartSpanOptions &options)
 {
     for (const auto &[type, context] : options.references) {
-        const auto *known = dynamic_cast<const RecordingContext *>(context);
-        if (known)
-            return &known->traceParent();
+        const auto *recording = dynamic_cast<const RecordingContext *>(context);
+        if (recording)
+            return &recording->traceParent();
     }
     return nullptr;
 }
@@ -45,13 +46,14 @@
 expected<void> injectText(const opentracing::SpanContext &context,
                           const opentracing::TextMapWriter &writer)
 {
-    const auto *known = dynamic_cast<const RecordingContext *>(&context);
-    if (!known)
+    const auto *recording = dynamic_cast<const RecordingContext *>(&context);
+    if (!recording)
         return opentracing::make_unexpected(opentracing::invalid_span_context_error);
-    return writer.Set(headerName, toString(known->traceParent()));
+    return writer.Set(headerName, toString(recording->traceParent()));
 }
 
-/// A header that is malformed starts a new trace, as the standard wants, and is no error.
+/// Returns null for a malformed header, which is not an error: the standard requires that a new
+/// trace is started.
 expected<std::unique_ptr<opentracing::SpanContext>>
 extractText(const opentracing::TextMapReader &reader)
 {
@@ -59,7 +61,7 @@
     const expected<void> read =
         reader.ForeachKey([&](string_view key, string_view value) -> expected<void> {
             if (isHeaderName(key))
-                found = RecordingTracer::contextOf(std::string(value));
+                found = RecordingTracer::contextFromHeader(std::string(value));
             return {};
         });
     if (!read)
@@ -74,7 +76,8 @@
     , m_random(&random)
 {}
 
-std::unique_ptr<opentracing::SpanContext> RecordingTracer::contextOf(const std::string &traceparent)
+std::unique_ptr<opentracing::SpanContext>
+RecordingTracer::contextFromHeader(const std::string &traceparent)
 {
     const Base::Result<TraceParent> parent = TraceParent::parse(traceparent);
     if (!parent)
@@ -116,10 +119,10 @@
 expected<void> RecordingTracer::Inject(const opentracing::SpanContext &context,
                                        std::ostream &writer) const
 {
-    const auto *known = dynamic_cast<const RecordingContext *>(&context);
-    if (!known)
+    const auto *recording = dynamic_cast<const RecordingContext *>(&context);
+    if (!recording)
         return opentracing::make_unexpected(opentracing::invalid_span_context_error);
-    writer << toString(known->traceParent());
+    writer << toString(recording->traceParent());
     return {};
 }
 
@@ -138,10 +141,10 @@
 expected<std::unique_ptr<opentracing::SpanContext>>
 RecordingTracer::Extract(std::istream &reader) const
 {
-    std::string text(largestHeader, '\0');
+    std::string text(maxHeaderSize, '\0');
     reader.read(text.data(), static_cast<std::streamsize>(text.size()));
     text.resize(static_cast<std::size_t>(reader.gcount()));
-    return contextOf(text);
+    return contextFromHeader(text);
 }
 
 expected<std::unique_ptr<opentracing::SpanContext>>
@@ -160,7 +163,7 @@
 {
     const std::lock_guard lock(m_mutex);
     std::uint64_t id = m_random->next();
-    // 0 means "none" in a traceparent.
+    // 0 is not a valid id in a traceparent header.
     return id == 0 ? 1 : id;
 }
 
--- a/src/libs/tracing/recordingtracer.h
+++ b/src/libs/tracing/recordingtracer.h
@@ -12,16 +12,18 @@
 
 namespace Tracing {
 
-/// An OpenTracing tracer whose spans go to a SpanRecorder, and that speaks W3C Trace Context
-/// towards other processes. Baggage is not carried. Safe to use from many threads.
+/// An OpenTracing tracer that passes finished spans to a SpanRecorder and exchanges trace contexts
+/// with other processes in W3C Trace Context headers. Baggage is not supported. Thread-safe.
 class RecordingTracer final : public opentracing::Tracer
 {
 public:
-    /// \a random is only used by this tracer; both arguments outlive it and its spans.
+    /// \a random must not be used by others; both arguments must outlive the tracer and its spans.
     RecordingTracer(SpanRecorder &recorder, Base::RandomSource &random);
 
-    /// The context that a header "traceparent" names; null if it is malformed or empty.
-    static std::unique_ptr<opentracing::SpanContext> contextOf(const std::string &traceparent);
+    /// Returns the context in the value of a header "traceparent", or null if the value is
+    /// malformed or empty.
+    static std::unique_ptr<opentracing::SpanContext>
+    contextFromHeader(const std::string &traceparent);
 
     std::unique_ptr<opentracing::Span>
     StartSpanWithOptions(opentracing::string_view name,
@@ -41,10 +43,12 @@
     Extract(const opentracing::HTTPHeadersReader &reader) const override;
 
 private:
+    /// Returns a random id other than 0.
     std::uint64_t nextId() const;
 
     SpanRecorder *m_recorder;
     Base::RandomSource *m_random;
+    /// Guards m_random.
     mutable std::mutex m_mutex;
 };
 
--- a/tests/auto/tracing/tst_recordingtracer.cpp
+++ b/tests/auto/tracing/tst_recordingtracer.cpp
@@ -14,16 +14,17 @@
 
 namespace {
 
+/// The lines that a FakeSink has written, shared with the test.
 struct Lines
 {
     std::mutex mutex;
     std::condition_variable changed;
     std::vector<std::string> texts;
-    bool isStuck = false;
+    bool isBlocked = false;
     bool isWriting = false;
 };
 
-/// Keeps lines; while it is stuck, a write waits.
+/// A sink that stores lines; its write() blocks while isBlocked is set.
 class FakeSink final : public LineSink
 {
 public:
@@ -36,7 +37,7 @@
         std::unique_lock lock(m_lines->mutex);
         m_lines->isWriting = true;
         m_lines->changed.notify_all();
-        m_lines->changed.wait(lock, [this] { return !m_lines->isStuck; });
+        m_lines->changed.wait(lock, [this] { return !m_lines->isBlocked; });
         m_lines->texts.push_back(line);
     }
 
@@ -80,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE("Spans of one request share its trace, and name their parent")
+TEST_CASE("Spans of one request have the same trace id and the id of their parent")
 {
     Lines lines;
     Base::SeededRandom random(1);
@@ -129,12 +130,12 @@
     CHECK_FALSE(tracer.StartSpan("entry")->context().ToTraceID().empty());
 }
 
-TEST_CASE("A stuck trace file costs spans and never time")
+TEST_CASE("A blocked trace file drops spans and does not delay requests")
 {
-    // The trace goes into a pipe whose reader has stopped. If the request's thread wrote the
-    // span itself, each request would stop behind it, and the router with them.
+    // Guards against a router that hangs because the trace goes to a pipe whose reader has stopped,
+    // which happens if the thread of a request writes the span itself.
     Lines lines;
-    lines.isStuck = true;
+    lines.isBlocked = true;
     {
         SpanRecorder recorder(std::make_unique<FakeSink>(lines), 4);
         recorder.record({});
@@ -146,13 +147,13 @@
         CHECK(recorder.recorded() == 5);
         CHECK(recorder.dropped() == 6);
         lock.lock();
-        lines.isStuck = false;
+        lines.isBlocked = false;
         lines.changed.notify_all();
     }
     CHECK(lines.texts.size() == 5);
 }
 
-TEST_CASE("Spans from several threads are whole lines")
+TEST_CASE("Spans from several threads are written as complete lines")
 {
     Lines lines;
     Base::SeededRandom random(1);
@@ -178,7 +179,7 @@
     CHECK(ids.size() == 800);
 }
 
-TEST_CASE("A trace file that cannot be opened is a typed failure")
+TEST_CASE("A trace file that cannot be opened is an error")
 {
     CHECK_FALSE(FileLineSink::open("/no/such/folder/trace"));
 }
