--- a/src/libs/metrics/atomicfamily.h
+++ b/src/libs/metrics/atomicfamily.h
@@ -15,24 +15,25 @@
 
 namespace Metrics::Internal {
 
-/// A family of any type, as the registry holds it.
-class AnyFamily
+/// Base class of all families, by which the registry stores them.
+class FamilyBase
 {
 public:
-    virtual ~AnyFamily() = default;
+    virtual ~FamilyBase() = default;
+    /// Appends the header and the samples of the family to \a text.
     virtual void appendTo(std::string &text) const = 0;
 };
 
-/// The family of instruments \a Implementation, known to users as \a Instrument.
+/// A family whose instruments have the type \a Implementation and the interface \a Instrument.
 template <typename Instrument, typename Implementation>
-class AtomicFamily final : public Family<Instrument>, public AnyFamily
+class AtomicFamily final : public Family<Instrument>, public FamilyBase
 {
 public:
-    using Make = std::function<std::unique_ptr<Implementation>()>;
+    using Factory = std::function<std::unique_ptr<Implementation>()>;
 
-    AtomicFamily(FamilyDescription description, Make make)
+    AtomicFamily(FamilyDescription description, Factory factory)
         : m_description(std::move(description))
-        , m_make(std::move(make))
+        , m_factory(std::move(factory))
     {}
 
     const FamilyDescription &description() const { return m_description; }
@@ -42,34 +43,34 @@
         std::vector<std::string> values = labelValues;
         values.resize(m_description.labelNames.size());
         const std::lock_guard lock(m_mutex);
-        auto it = m_children.find(values);
-        if (it != m_children.end())
+        auto it = m_instruments.find(values);
+        if (it != m_instruments.end())
             return *it->second;
-        if (m_children.size() >= largestChildren)
+        if (m_instruments.size() >= maxFamilySize)
             values.assign(values.size(), overflowLabel);
-        std::unique_ptr<Implementation> &child = m_children[values];
-        if (!child)
-            child = m_make();
-        return *child;
+        std::unique_ptr<Implementation> &instrument = m_instruments[values];
+        if (!instrument)
+            instrument = m_factory();
+        return *instrument;
     }
 
     void appendTo(std::string &text) const override
     {
         text += formatHeader(m_description.name, m_description.help, Implementation::typeName);
         const std::lock_guard lock(m_mutex);
-        for (const auto &[values, child] : m_children) {
+        for (const auto &[values, instrument] : m_instruments) {
             std::vector<Label> labels;
             for (std::size_t i = 0; i < values.size(); ++i)
                 labels.push_back({m_description.labelNames[i], values[i]});
-            child->appendTo(text, m_description.name, labels);
+            instrument->appendTo(text, m_description.name, labels);
         }
     }
 
 private:
     FamilyDescription m_description;
-    Make m_make;
+    Factory m_factory;
     mutable std::mutex m_mutex;
-    std::map<std::vector<std::string>, std::unique_ptr<Implementation>> m_children;
+    std::map<std::vector<std::string>, std::unique_ptr<Implementation>> m_instruments;
 };
 
 } // namespace Metrics::Internal
--- a/src/libs/metrics/instruments.h
+++ b/src/libs/metrics/instruments.h
@@ -5,17 +5,17 @@
 
 namespace Metrics {
 
-/// A value that only grows while the process lives. Safe to use from many threads.
+/// A value that only increases during the life of the process. Thread-safe.
 class Counter
 {
 public:
     virtual ~Counter() = default;
-    /// \a by is not negative; a negative number or NaN is left out.
+    /// Adds \a by, which must not be negative; a negative number or NaN is ignored.
     virtual void increment(double by = 1) = 0;
     virtual double value() const = 0;
 };
 
-/// A value that goes up and down. Safe to use from many threads.
+/// A value that can increase and decrease. Thread-safe.
 class Gauge
 {
 public:
@@ -25,26 +25,27 @@
     virtual double value() const = 0;
 };
 
-/// Counts observations in buckets. Safe to use from many threads.
+/// Counts observed values in buckets. Thread-safe.
 class Histogram
 {
 public:
     virtual ~Histogram() = default;
+    /// Counts \a value; NaN is ignored.
     virtual void observe(double value) = 0;
 };
 
-/// The metrics of one name, told apart by the values of their labels.
+/// The instruments of one metric name, distinguished by the values of their labels.
 template <typename Instrument>
 class Family
 {
 public:
     virtual ~Family() = default;
-    /// The instrument for these values, one for each label name of the family in their order;
-    /// the same one for the same values. It lives as long as the registry.
+    /// Returns the instrument for \a labelValues, which are in the order of the family's label
+    /// names. The same values give the same instrument. It lives as long as the registry.
     ///
-    /// Guards against a caller who makes up values: past largestChildren the further ones share
-    /// one instrument whose label values are "other". Without it each new value would stay in
-    /// memory and in every scrape for ever.
+    /// If the family has maxFamilySize instruments, all further label values share one instrument
+    /// whose label values are "other". Without this limit a caller that invents values would let
+    /// the memory and every scrape grow without bound.
     virtual Instrument &with(const std::vector<std::string> &labelValues) = 0;
 };
 
--- a/src/libs/metrics/metricsconstants.h
+++ b/src/libs/metrics/metricsconstants.h
@@ -4,11 +4,11 @@
 
 namespace Metrics {
 
-/// Instruments in one family. Enough for every customer of the fleet (9,400) to have one.
-inline constexpr std::size_t largestChildren = 10000;
-/// Value of every label of the instrument that is shared past largestChildren.
+/// Maximum number of instruments in one family. Every customer of the fleet (9,400) can have one.
+inline constexpr std::size_t maxFamilySize = 10000;
+/// Value of every label of the instrument that is shared beyond maxFamilySize.
 inline constexpr char overflowLabel[] = "other";
-/// Content-Type of the text exposition format.
+/// Content-Type of Prometheus's text exposition format.
 inline constexpr char textContentType[] = "text/plain; version=0.0.4; charset=utf-8";
 
 } // namespace Metrics
--- a/src/libs/metrics/textregistry.cpp
+++ b/src/libs/metrics/textregistry.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool isGrowing(const std::vector<double> &bounds)
+bool isIncreasing(const std::vector<double> &bounds)
 {
     const auto isNotBelow = [](double a, double b) { return !(a < b); };
     return !bounds.empty()
@@ -37,10 +37,10 @@
                                                            const std::vector<double> &bounds)
 {
     using Internal::AtomicHistogram;
-    if (!isGrowing(bounds))
+    if (!isIncreasing(bounds))
         return boost::leaf::new_error(InvalidBuckets{description.name});
     const auto &names = description.labelNames;
-    // "le" is the label of the buckets.
+    // Histograms use the label "le" for the bounds of their buckets.
     if (std::find(names.begin(), names.end(), "le") != names.end())
         return boost::leaf::new_error(InvalidMetricName{"le"});
     return family<Histogram, AtomicHistogram>(
@@ -64,11 +64,11 @@
     return text;
 }
 
-template <typename Instrument, typename Implementation, typename Make>
+template <typename Instrument, typename Implementation, typename Factory>
 Base::Result<Family<Instrument> *> TextRegistry::family(const FamilyDescription &description,
-                                                        Make make)
+                                                        Factory factory)
 {
-    using OwnFamily = Internal::AtomicFamily<Instrument, Implementation>;
+    using RequestedFamily = Internal::AtomicFamily<Instrument, Implementation>;
     if (!Internal::isMetricName(description.name))
         return boost::leaf::new_error(InvalidMetricName{description.name});
     for (const std::string &label : description.labelNames) {
@@ -76,10 +76,10 @@
             return boost::leaf::new_error(InvalidMetricName{label});
     }
     const std::lock_guard lock(m_mutex);
-    std::unique_ptr<Internal::AnyFamily> &place = m_families[description.name];
-    if (!place)
-        place = std::make_unique<OwnFamily>(description, std::move(make));
-    auto *found = dynamic_cast<OwnFamily *>(place.get());
+    std::unique_ptr<Internal::FamilyBase> &slot = m_families[description.name];
+    if (!slot)
+        slot = std::make_unique<RequestedFamily>(description, std::move(factory));
+    auto *found = dynamic_cast<RequestedFamily *>(slot.get());
     if (!found || found->description().labelNames != description.labelNames)
         return boost::leaf::new_error(MetricNameTaken{description.name});
     return static_cast<Family<Instrument> *>(found);
--- a/src/libs/metrics/textregistry.h
+++ b/src/libs/metrics/textregistry.h
@@ -11,7 +11,7 @@
 
 namespace Metrics {
 
-/// This project's own registry: atomic instruments and the text exposition format.
+/// A registry that stores metrics in atomic variables and writes the text exposition format.
 class TextRegistry final : public Registry
 {
 public:
@@ -23,11 +23,13 @@
     std::string text() override;
 
 private:
-    template <typename Instrument, typename Implementation, typename Make>
-    Base::Result<Family<Instrument> *> family(const FamilyDescription &description, Make make);
+    template <typename Instrument, typename Implementation, typename Factory>
+    Base::Result<Family<Instrument> *> family(const FamilyDescription &description,
+                                              Factory factory);
 
+    /// Guards the members below.
     std::mutex m_mutex;
-    std::map<std::string, std::unique_ptr<Internal::AnyFamily>> m_families;
+    std::map<std::string, std::unique_ptr<Internal::FamilyBase>> m_families;
     std::vector<std::unique_ptr<Collector>> m_collectors;
 };
 
--- a/tests/auto/metrics/tst_textregistry.cpp
+++ b/tests/auto/metrics/tst_textregistry.cpp
@@ -23,7 +23,7 @@
     return lines;
 }
 
-/// The value of the first label of \a line, read as a scraper does.
+/// Returns the value of the first label of \a line, unescaped as by a scraper.
 std::string unescapedValue(const std::string &line)
 {
     std::string value;
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_CASE("The text has each family with its help, type and samples")
+TEST_CASE("The text contains the help, type and samples of each family")
 {
     TextRegistry registry;
     auto requests = registry.counters({"requests_total", "Requests", {"class", "result"}});
@@ -70,11 +70,11 @@
              "wait_seconds_count{class=\"chat\"} 3\n");
 }
 
-TEST_CASE("No label value can forge a line")
+TEST_CASE("A label value cannot inject a line")
 {
-    // A class name with a quotation mark and a line feed would end its own sample; the scraper
-    // would read the rest as a sample of the caller's choice.
-    rc::prop("any value is one line that reads back the same", [](const std::string &value) {
+    // Guards against a class name with a quotation mark and a line feed that ends its own sample;
+    // a scraper would then read the rest as a sample that the caller has made up.
+    rc::prop("any value gives one line and is unescaped to itself", [](const std::string &value) {
         TextRegistry registry;
         registry.counters({"a_total", "A", {"v"}}).value()->with({value}).increment();
         const std::vector<std::string> lines = linesOf(registry.text());
@@ -83,7 +83,7 @@
     });
 }
 
-TEST_CASE("Names and buckets that the format does not allow are refused")
+TEST_CASE("Names and buckets that the format does not allow are rejected")
 {
     TextRegistry registry;
     for (const std::string name : {"", "1a", "a-b", "a b", "a\n"})
@@ -107,7 +107,7 @@
     CHECK_FALSE(registry.counters({"a_total", "A", {"y"}}));
 }
 
-TEST_CASE("A counter never falls, and NaN spoils nothing")
+TEST_CASE("A counter never decreases, and NaN is ignored")
 {
     TextRegistry registry;
     Counter &counter = registry.counters({"a_total", "A", {}}).value()->with({});
@@ -120,18 +120,18 @@
     CHECK(registry.text().find("h_sum 0\nh_count 0\n") != std::string::npos);
 }
 
-TEST_CASE("Made-up label values do not grow the process for ever")
+TEST_CASE("A family with many label values has a bounded size")
 {
     TextRegistry registry;
     auto *family = registry.counters({"a_total", "A", {"v"}}).value();
-    for (std::size_t i = 0; i < largestChildren + 5; ++i)
+    for (std::size_t i = 0; i < maxFamilySize + 5; ++i)
         family->with({std::to_string(i)}).increment();
-    CHECK(linesOf(registry.text()).size() == 2 + largestChildren + 1);
+    CHECK(linesOf(registry.text()).size() == 2 + maxFamilySize + 1);
     CHECK(family->with({"made up"}).value() == 5);
     CHECK(family->with({"7"}).value() == 1);
 }
 
-TEST_CASE("Counts from several threads are all there")
+TEST_CASE("No increment from several threads is lost")
 {
     TextRegistry registry;
     auto *family = registry.counters({"a_total", "A", {"v"}}).value();
@@ -151,7 +151,7 @@
     CHECK(sum == 20000);
 }
 
-TEST_CASE("The process's memory, processor time and files are told")
+TEST_CASE("The memory, processor time and open files of the process are exported")
 {
     TextRegistry registry;
     auto collector = ProcessCollector::create(registry);
