--- a/src/libs/metrics/atomicinstruments.cpp
+++ b/src/libs/metrics/atomicinstruments.cpp
@@ -31,7 +31,7 @@
 
 void AtomicHistogram::observe(double value)
 {
-    // A NaN would make the sum useless for ever.
+    // Adding a NaN would make the sum NaN permanently.
     if (std::isnan(value))
         return;
     const auto it = std::lower_bound(m_bounds.begin(), m_bounds.end(), value);
--- a/src/libs/metrics/atomicinstruments.h
+++ b/src/libs/metrics/atomicinstruments.h
@@ -40,14 +40,14 @@
     std::atomic<double> m_value = 0;
 };
 
-/// Counts are read bucket by bucket, so a reader may see an observation in the count and not
-/// yet in the sum; the count and the buckets always agree with each other.
+/// Observations are not locked out while the buckets are read. A reader may therefore see an
+/// observation in the count but not yet in the sum. The count always equals the sum of the buckets.
 class AtomicHistogram final : public Histogram
 {
 public:
     static constexpr char typeName[] = "histogram";
 
-    /// \a bounds are growing.
+    /// \a bounds must be increasing.
     explicit AtomicHistogram(const std::vector<double> &bounds);
 
     void observe(double value) override;
@@ -56,7 +56,7 @@
 
 private:
     std::vector<double> m_bounds;
-    /// One more than bounds: the last one takes what is above them all.
+    /// Counts of the buckets; the last one, beyond the bounds, counts the values above all bounds.
     std::unique_ptr<std::atomic<std::uint64_t>[]> m_counts;
     std::atomic<double> m_sum = 0;
 };
--- a/src/libs/metrics/processcollector.cpp
+++ b/src/libs/metrics/processcollector.cpp
@@ -18,6 +18,7 @@
     return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) * microsecond;
 }
 
+/// Returns the resident memory, which is the second number in /proc/self/statm, in pages.
 double residentBytes()
 {
     std::ifstream in("/proc/self/statm");
--- a/src/libs/metrics/processcollector.h
+++ b/src/libs/metrics/processcollector.h
@@ -7,12 +7,12 @@
 
 namespace Metrics {
 
-/// Memory, processor time and open files of this process, under the names that Prometheus's
-/// own clients use. Source: getrusage(2) and /proc/self.
+/// Exports the memory, processor time and open files of this process, under the names that the
+/// Prometheus client libraries use. The values come from getrusage(2) and /proc/self.
 class ProcessCollector final : public Collector
 {
 public:
-    /// Registers its metrics; fails as Registry does.
+    /// Registers the metrics in \a registry. Fails with the errors of Registry.
     static Base::Result<std::unique_ptr<ProcessCollector>> create(Registry &registry);
 
     void collect() override;
--- a/src/libs/metrics/registry.h
+++ b/src/libs/metrics/registry.h
@@ -9,7 +9,7 @@
 
 namespace Metrics {
 
-/// What a family is registered with.
+/// Name, help text and label names of a family.
 struct FamilyDescription
 {
     std::string name;
@@ -17,25 +17,25 @@
     std::vector<std::string> labelNames;
 };
 
-/// A metric or label name that the exposition format does not allow.
+/// Error: the exposition format does not allow this metric or label name.
 struct InvalidMetricName
 {
     std::string name;
 };
 
-/// The name is taken by a family of another type or with other labels.
+/// Error: the name belongs to a family of another type or with other labels.
 struct MetricNameTaken
 {
     std::string name;
 };
 
-/// Histogram bounds that are empty, not finite or not growing.
+/// Error: the bounds of a histogram are empty, not finite or not increasing.
 struct InvalidBuckets
 {
     std::string name;
 };
 
-/// Brings its instruments up to date just before they are read.
+/// Updates its instruments just before they are exported.
 class Collector
 {
 public:
@@ -43,23 +43,25 @@
     virtual void collect() = 0;
 };
 
-/// All metrics of one process. Has the shape of prometheus-cpp's registry, so that an adapter
-/// over that library can take this one's place; docs/design/metrics.md says why it is not used.
+/// All metrics of one process. The interface resembles that of prometheus-cpp's registry, so that
+/// it can be implemented with that library; docs/design/metrics.md explains why it is not used.
 ///
-/// Registering the same family again gives the one that is there. Each function fails with
+/// Registering the same family again returns the existing one. Registration fails with
 /// InvalidMetricName or MetricNameTaken, histograms() also with InvalidBuckets. A family lives as
-/// long as the registry. Safe to use from many threads.
+/// long as the registry. Thread-safe.
 class Registry
 {
 public:
     virtual ~Registry() = default;
     virtual Base::Result<Family<Counter> *> counters(const FamilyDescription &description) = 0;
     virtual Base::Result<Family<Gauge> *> gauges(const FamilyDescription &description) = 0;
-    /// \a bounds are the upper bounds of the buckets, growing; the last bucket is added.
+    /// \a bounds are the increasing upper bounds of the buckets; a last bucket without a bound is
+    /// added.
     virtual Base::Result<Family<Histogram> *> histograms(const FamilyDescription &description,
                                                          const std::vector<double> &bounds) = 0;
+    /// Adds a collector, which text() calls before it formats the metrics.
     virtual void addCollector(std::unique_ptr<Collector> collector) = 0;
-    /// All metrics in Prometheus's text exposition format 0.0.4.
+    /// Returns all metrics in Prometheus's text exposition format 0.0.4.
     virtual std::string text() = 0;
 };
 
--- a/src/libs/metrics/textformat.cpp
+++ b/src/libs/metrics/textformat.cpp
@@ -18,21 +18,21 @@
     return c >= '0' && c <= '9';
 }
 
-/// Guards against a label value that ends its line and forges another sample: a line feed, a
-/// backslash and, in values, a quotation mark leave as escapes.
+/// Escapes line feeds, backslashes and, in quoted text, quotation marks. Otherwise a label value
+/// could end its line and inject another sample.
 std::string escaped(const std::string &text, bool isQuoted)
 {
-    std::string safe;
+    std::string result;
     for (const char c : text) {
         if (c == '\n') {
-            safe += "\\n";
+            result += "\\n";
             continue;
         }
         if (c == '\\' || (isQuoted && c == '"'))
-            safe += '\\';
-        safe += c;
+            result += '\\';
+        result += c;
     }
-    return safe;
+    return result;
 }
 
 } // namespace
--- a/src/libs/metrics/textformat.h
+++ b/src/libs/metrics/textformat.h
@@ -5,19 +5,21 @@
 
 namespace Metrics::Internal {
 
+/// A label of a sample, with its value.
 struct Label
 {
     std::string name;
     std::string value;
 };
 
+/// Return whether the exposition format allows \a name.
 bool isMetricName(const std::string &name);
 bool isLabelName(const std::string &name);
-/// Shortest text that reads back as \a value; "+Inf", "-Inf" and "NaN" for the rest.
+/// Returns the shortest text that parses as \a value, or "+Inf", "-Inf" or "NaN".
 std::string formatNumber(double value);
-/// The lines "# HELP" and "# TYPE".
+/// Returns the lines "# HELP" and "# TYPE".
 std::string formatHeader(const std::string &name, const std::string &help, const std::string &type);
-/// One line: NAME{LABELS} VALUE.
+/// Returns one line "NAME{LABELS} VALUE".
 std::string formatSample(const std::string &name, const std::vector<Label> &labels, double value);
 
 } // namespace Metrics::Internal
