--- a/src/libs/metrics/atomicinstruments.h
+++ b/src/libs/metrics/atomicinstruments.h
@@ -40,8 +40,9 @@
     std::atomic<double> m_value = 0;
 };
 
-/// Observations are not locked out while the buckets are read. A reader may therefore see an
-/// observation in the count but not yet in the sum. The count always equals the sum of the buckets.
+/// A histogram without a lock: values can be observed while the buckets are read. A reader may
+/// therefore see an observation in the count but not yet in the sum. The count always equals the
+/// sum of the buckets.
 class AtomicHistogram final : public Histogram
 {
 public:
--- a/src/libs/metrics/textformat.h
+++ b/src/libs/metrics/textformat.h
@@ -12,8 +12,9 @@
     std::string value;
 };
 
-/// Return whether the exposition format allows \a name.
+/// Returns whether the exposition format allows \a name for a metric.
 bool isMetricName(const std::string &name);
+/// Returns whether the exposition format allows \a name for a label.
 bool isLabelName(const std::string &name);
 /// Returns the shortest text that parses as \a value, or "+Inf", "-Inf" or "NaN".
 std::string formatNumber(double value);
--- a/src/libs/settings/targetbody.cpp
+++ b/src/libs/settings/targetbody.cpp
@@ -9,10 +9,10 @@
 using Internal::Json;
 using Internal::ObjectReader;
 
-/// Milliseconds.
+/// Lower limit of startWithinMs, in milliseconds.
 constexpr std::int64_t minStartWithinMs = 1;
-/// One hour, in milliseconds. A class with a longer target does not suit a synchronous HTTP
-/// request.
+/// Upper limit of startWithinMs: one hour, in milliseconds. A class that may wait longer should not
+/// be served over a request that is kept open.
 constexpr std::int64_t maxStartWithinMs = 3'600'000;
 constexpr char expectedClaim[] = "a number above 0 and at most 1";
 
