--- a/src/app/commandline.h
+++ b/src/app/commandline.h
@@ -12,38 +12,45 @@
 
 namespace App {
 
+/// Runs one router or gateway.
 struct ServeCommand
 {
     std::string settingsFile;
 };
 
+/// Validates a settings file.
 struct CheckCommand
 {
     std::string settingsFile;
 };
 
+/// Prints the targets in force.
 struct GetTargetsCommand
 {
-    /// "IP:PORT" that a router serves callers on.
+    /// "IP:PORT" at which a router serves callers; the same in the commands below.
     std::string address;
 };
 
+/// Changes the target of one class.
 struct SetTargetCommand
 {
     std::string address;
     Base::ClassId workClass;
     Base::Milliseconds startWithin{0};
-    /// As given; the router checks its range.
+    /// Claim as given by the operator; the router checks its range.
     std::optional<double> claim;
+    /// Version that "targets get" has printed. The router rejects the change if the target was
+    /// changed after it.
     Settings::ConfigurationVersion ifMatch = 0;
 };
 
+/// Prints the status of a router.
 struct StatusCommand
 {
     std::string address;
 };
 
-/// What log files say of one request.
+/// Prints the lines of log files that concern one request.
 struct ExplainCommand
 {
     std::string request;
@@ -70,7 +77,8 @@
     MalformedValue,
 };
 
-/// The command line is wrong; \a subject is the option, command or argument that is.
+/// Error: the command line is wrong. \a subject is the faulty or missing option, command or
+/// argument.
 struct UsageError
 {
     UsageFault fault = UsageFault::MissingCommand;
@@ -79,10 +87,12 @@
     bool operator==(const UsageError &) const = default;
 };
 
+/// Returns a message for the operator.
 std::string toString(const UsageError &error);
+/// Returns the text of --help.
 const char *usageText();
 
-/// Reads the arguments after the program's name. Fails with UsageError.
+/// Parses the arguments after the name of the program. Fails with UsageError.
 Base::Result<Command> parseCommandLine(const std::vector<std::string> &arguments);
 
 } // namespace App
