--- a/src/app/operatorclient.cpp
+++ b/src/app/operatorclient.cpp
@@ -52,7 +52,7 @@
     return body.dump();
 }
 
-/// Percent-encodes all but the characters that a path may hold as they are (RFC 3986).
+/// Percent-encodes all characters except those that may occur unescaped in a path (RFC 3986).
 std::string pathSegment(const std::string &text)
 {
     const std::unique_ptr<char, decltype(&u_free)> encoded(ulfius_url_encode(text.c_str()), u_free);
@@ -61,6 +61,7 @@
 
 } // namespace
 
+/// One HTTP request; an empty body or ifMatch is not sent.
 struct OperatorClient::Call
 {
     const char *verb = "GET";
--- a/src/app/operatorclient.h
+++ b/src/app/operatorclient.h
@@ -7,23 +7,23 @@
 
 namespace App {
 
-/// A router's answer to an operator.
+/// The HTTP answer of a router to an operator.
 struct OperatorAnswer
 {
     int status = 0;
     std::string body;
 
-    bool isGood() const { return status >= 200 && status < 300; }
+    bool isSuccess() const { return status >= 200 && status < 300; }
 };
 
-/// No router answers there.
+/// Error: no router answers at this address.
 struct NoAnswer
 {
     std::string address;
 };
 
-/// Asks one router over HTTP. Each call waits for the answer, at most 10 s, and fails with
-/// NoAnswer.
+/// Sends an operator's requests to one router over HTTP. Each call waits for the answer for at most
+/// 10 s, and otherwise fails with NoAnswer.
 class OperatorClient
 {
 public:
--- a/src/app/program.cpp
+++ b/src/app/program.cpp
@@ -15,12 +15,12 @@
 
 constexpr char errorPrefix[] = "lagoonmast: ";
 
-/// Good answers go to \a out, refusals to \a err.
-ExitStatus show(const OperatorAnswer &answer, std::ostream &out, std::ostream &err)
+/// Prints a successful answer to \a out and any other answer to \a err.
+ExitStatus printAnswer(const OperatorAnswer &answer, std::ostream &out, std::ostream &err)
 {
-    if (answer.isGood()) {
+    if (answer.isSuccess()) {
         out << answer.body << '\n';
-        return ExitStatus::Good;
+        return ExitStatus::Success;
     }
     err << errorPrefix << "the router answered " << answer.status << ": " << answer.body << '\n';
     return ExitStatus::Failed;
@@ -57,7 +57,7 @@
             return ExitStatus::Failed;
         },
         [this] {
-            *m_err << errorPrefix << "failed\n";
+            *m_err << errorPrefix << "unexpected error\n";
             return ExitStatus::Failed;
         });
     return static_cast<int>(status);
@@ -75,10 +75,10 @@
     if (Gateway::GatewaySettings::isGatewayText(text)) {
         BOOST_LEAF_AUTO(gateway, Gateway::GatewaySettings::parse(text));
         gateway.file = command.settingsFile;
-        return m_serveGateway(gateway) == 0 ? ExitStatus::Good : ExitStatus::Failed;
+        return m_serveGateway(gateway) == 0 ? ExitStatus::Success : ExitStatus::Failed;
     }
     BOOST_LEAF_AUTO(settings, Settings::ProcessSettings::parse(text));
-    return m_serve(daemonSettings(settings)) == 0 ? ExitStatus::Good : ExitStatus::Failed;
+    return m_serve(daemonSettings(settings)) == 0 ? ExitStatus::Success : ExitStatus::Failed;
 }
 
 Base::Result<ExitStatus> Program::execute(const CheckCommand &command)
@@ -92,50 +92,50 @@
         BOOST_LEAF_AUTO(settings, Settings::ProcessSettings::parse(text));
         host = settings.host;
     }
-    *m_out << command.settingsFile << ": good, host " << host.value() << '\n';
-    return ExitStatus::Good;
+    *m_out << command.settingsFile << ": valid, host " << host.value() << '\n';
+    return ExitStatus::Success;
 }
 
 Base::Result<ExitStatus> Program::execute(const GetTargetsCommand &command)
 {
     BOOST_LEAF_AUTO(answer, OperatorClient(command.address).targets());
-    return show(answer, *m_out, *m_err);
+    return printAnswer(answer, *m_out, *m_err);
 }
 
 Base::Result<ExitStatus> Program::execute(const SetTargetCommand &command)
 {
     BOOST_LEAF_AUTO(answer, OperatorClient(command.address).setTarget(command));
-    return show(answer, *m_out, *m_err);
+    return printAnswer(answer, *m_out, *m_err);
 }
 
 Base::Result<ExitStatus> Program::execute(const StatusCommand &command)
 {
     BOOST_LEAF_AUTO(answer, OperatorClient(command.address).status());
-    return show(answer, *m_out, *m_err);
+    return printAnswer(answer, *m_out, *m_err);
 }
 
 Base::Result<ExitStatus> Program::execute(const ExplainCommand &command)
 {
-    BOOST_LEAF_AUTO(way, explainRequest(command.request, command.files));
-    if (way.empty()) {
-        *m_err << errorPrefix << "no line of " << command.request << '\n';
+    BOOST_LEAF_AUTO(lines, explainRequest(command.request, command.files));
+    if (lines.empty()) {
+        *m_err << errorPrefix << "no log line of request " << command.request << '\n';
         return ExitStatus::Failed;
     }
-    for (const std::string &line : way)
+    for (const std::string &line : lines)
         *m_out << line << '\n';
-    return ExitStatus::Good;
+    return ExitStatus::Success;
 }
 
 Base::Result<ExitStatus> Program::execute(const HelpCommand &)
 {
     *m_out << usageText();
-    return ExitStatus::Good;
+    return ExitStatus::Success;
 }
 
 Base::Result<ExitStatus> Program::execute(const VersionCommand &)
 {
     *m_out << "lagoonmast " << versionText << '\n';
-    return ExitStatus::Good;
+    return ExitStatus::Success;
 }
 
 } // namespace App
--- a/src/app/program.h
+++ b/src/app/program.h
@@ -16,21 +16,24 @@
 
 namespace App {
 
-enum class ExitStatus { Good = 0, Failed = 1, Usage = 2 };
+/// Exit status of the process.
+enum class ExitStatus { Success = 0, Failed = 1, Usage = 2 };
 
-/// The program below main(): reads the command line and does what it asks for.
+/// The program without main(): parses the command line and executes the command.
 class Program
 {
 public:
-    /// Runs a router; returns the exit status.
+    /// Runs a router and returns the exit status.
     using Serve = std::function<int(const Daemon::DaemonSettings &)>;
-    /// Runs a gateway, the form of the router for deployments whose store has routes and servers.
+    /// Runs a gateway, which is the variant of the router for deployments whose store contains the
+    /// routes and servers. Returns the exit status.
     using ServeGateway = std::function<int(const Gateway::GatewaySettings &)>;
 
-    /// Errors go to \a err, all else to \a out; both outlive the program.
+    /// Errors are written to \a err, all other output to \a out. Both must outlive the program.
     Program(std::ostream &out, std::ostream &err, Serve serve, ServeGateway serveGateway = {});
 
-    /// Returns the exit status.
+    /// Executes the command in \a arguments, which exclude the name of the program. Returns the
+    /// exit status.
     int run(const std::vector<std::string> &arguments);
 
 private:
