--- a/src/app/explain.cpp
+++ b/src/app/explain.cpp
@@ -14,6 +14,7 @@
 
 using Json = nlohmann::ordered_json;
 
+/// A line of a log that concerns the request.
 struct LoggedLine
 {
     std::int64_t atMs = 0;
@@ -21,8 +22,8 @@
     Json json;
 };
 
-/// The JSON part of a line; a collector of logs may have put something before it.
-Json jsonOf(const std::string &line)
+/// Returns the JSON object in \a line, before which a log collector may have inserted a prefix.
+Json parseJsonPart(const std::string &line)
 {
     const std::size_t begin = line.find('{');
     if (begin == std::string::npos)
@@ -37,10 +38,10 @@
     std::string line;
     std::string host = "?";
     while (std::getline(in, line)) {
-        const Json json = jsonOf(line);
+        const Json json = parseJsonPart(line);
         if (!json.is_object() || !json.contains("atMs") || !json["atMs"].is_number_integer())
             continue;
-        // The first line of a process names its host.
+        // The first line that a process logs has its host, to which the following lines belong.
         if (json.contains("host") && json["host"].is_string())
             host = json["host"].get<std::string>();
         if (json.contains("request") && json["request"] == request)
@@ -72,10 +73,10 @@
     }
     std::stable_sort(found.begin(), found.end(),
                      [](const LoggedLine &a, const LoggedLine &b) { return a.atMs < b.atMs; });
-    std::vector<std::string> way;
+    std::vector<std::string> lines;
     for (const LoggedLine &line : found)
-        way.push_back(describe(line));
-    return way;
+        lines.push_back(describe(line));
+    return lines;
 }
 
 } // namespace App
--- a/src/app/explain.h
+++ b/src/app/explain.h
@@ -7,9 +7,9 @@
 
 namespace App {
 
-/// The lines that gateways' log \a files have of \a request, in order of time, each with the host
-/// that wrote it and the inputs of its decision. Lines that are no JSON are left out. Fails with
-/// UnreadableFile.
+/// Returns the lines of the gateways' log \a files that concern \a request, in order of time. Each
+/// line has the host that logged it and the inputs of its decision. Lines that are not JSON are
+/// ignored. Fails with UnreadableFile.
 Base::Result<std::vector<std::string>> explainRequest(const std::string &request,
                                                       const std::vector<std::string> &files);
 
--- a/src/app/settingsfile.cpp
+++ b/src/app/settingsfile.cpp
@@ -27,7 +27,7 @@
 Base::Result<std::string> readFile(const std::string &file)
 {
     std::ifstream in(file);
-    // A folder can be opened and shows only when it is read.
+    // A directory can be opened; the error occurs only when it is read.
     std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
     if (!in || text.empty())
         return boost::leaf::new_error(UnreadableFile{file});
@@ -36,21 +36,21 @@
 
 Daemon::DaemonSettings daemonSettings(const Settings::ProcessSettings &settings)
 {
-    Daemon::DaemonSettings to;
-    to.host = settings.host;
-    to.zone = settings.zone;
-    to.region = settings.region;
-    to.callerAddress = toString(settings.callerAddress);
-    to.peerAddress = toString(settings.peerAddress);
-    to.platformAddress = toString(settings.platformAddress);
+    Daemon::DaemonSettings converted;
+    converted.host = settings.host;
+    converted.zone = settings.zone;
+    converted.region = settings.region;
+    converted.callerAddress = toString(settings.callerAddress);
+    converted.peerAddress = toString(settings.peerAddress);
+    converted.platformAddress = toString(settings.platformAddress);
     for (const Settings::SeedHost &seed : settings.seeds)
-        to.seeds.push_back({seed.host, toString(seed.peerAddress)});
-    to.limits.connections = settings.limits.connections;
-    to.limits.bodyBytes = settings.limits.bodyBytes;
-    to.limits.streamBufferBytes = settings.limits.streamBufferBytes;
-    to.logLevel = levelName(settings.logLevel);
-    to.traceFile = settings.traceFile;
-    return to;
+        converted.seeds.push_back({seed.host, toString(seed.peerAddress)});
+    converted.limits.connections = settings.limits.connections;
+    converted.limits.bodyBytes = settings.limits.bodyBytes;
+    converted.limits.streamBufferBytes = settings.limits.streamBufferBytes;
+    converted.logLevel = levelName(settings.logLevel);
+    converted.traceFile = settings.traceFile;
+    return converted;
 }
 
 } // namespace App
--- a/src/app/settingsfile.h
+++ b/src/app/settingsfile.h
@@ -8,15 +8,16 @@
 
 namespace App {
 
-/// The file cannot be read.
+/// Error: the file cannot be read, or is empty.
 struct UnreadableFile
 {
     std::string file;
 };
 
-/// The text of a settings file. Fails with UnreadableFile.
+/// Returns the text of \a file. Fails with UnreadableFile.
 Base::Result<std::string> readFile(const std::string &file);
 
+/// Converts the settings of a process to those of a daemon.
 Daemon::DaemonSettings daemonSettings(const Settings::ProcessSettings &settings);
 
 } // namespace App
