--- a/src/app/nodetraces.h
+++ b/src/app/nodetraces.h
@@ -9,14 +9,15 @@
 
 namespace App {
 
-/// Turns the hops of a request into spans of one trace. Called on the core's thread.
+/// Records the hops of a request as spans of one trace. A hop is one step of a request: entry,
+/// claim, queue or backend. Used on the core thread only.
 ///
-/// The hops inside a request end before the request does, so they wait here until its entry hop
-/// ends; there are as many lists as open requests.
+/// The inner hops of a request end before its entry hop, whose span is their parent. They are
+/// therefore stored until the request ends, in one list per open request.
 class NodeTraces final : public Node::NodeObserver
 {
 public:
-    /// \a tracer outlives this object.
+    /// \a tracer must outlive this object.
     explicit NodeTraces(const opentracing::Tracer &tracer)
         : m_tracer(&tracer)
     {}
