--- a/src/app/nodemetrics.cpp
+++ b/src/app/nodemetrics.cpp
@@ -11,8 +11,9 @@
 
 using Metrics::FamilyDescription;
 
-/// From a millisecond to two minutes, about three to a decade: a start target lies between
-/// 100 ms and some tens of seconds, and its share of misses is read off the nearest bounds.
+/// Histogram bounds in seconds, from a millisecond to two minutes, about three per decade. Start
+/// targets lie between 100 ms and some tens of seconds; the share of requests that miss a target is
+/// read from the nearest bounds.
 const std::vector<double> timeBounds{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25,
                                      0.5,   1,      2.5,   5,    10,    30,   60,  120};
 
@@ -74,10 +75,10 @@
                                                         "From arrival to the answer's start",
                                                         {"class"}},
                                                        timeBounds));
-    BOOST_LEAF_ASSIGN(
-        m_whole, registry.histograms(
-                     {"lagoonmast_request_seconds", "From arrival to the final answer", {"class"}},
-                     timeBounds));
+    BOOST_LEAF_ASSIGN(m_requestTime, registry.histograms({"lagoonmast_request_seconds",
+                                                          "From arrival to the final answer",
+                                                          {"class"}},
+                                                         timeBounds));
     return {};
 }
 
@@ -118,7 +119,7 @@
     const std::string workClass = record.workClass.value();
     const char *outcome = record.isFailed ? Daemon::typeName(record.failure) : "answered";
     m_requests->with({workClass, outcome}).increment();
-    m_whole->with({workClass}).observe(seconds(record.whole));
+    m_requestTime->with({workClass}).observe(seconds(record.whole));
     if (record.attempts > 0 && record.queueWait.count() > 0)
         m_queueWait->with({workClass}).observe(seconds(record.queueWait));
     if (record.firstPart.count() > 0)
@@ -140,25 +141,25 @@
     m_version->set(static_cast<double>(status.version));
     m_liveRouters->set(static_cast<double>(status.liveRouters));
     m_openRequests->set(static_cast<double>(status.openRequests));
-    showHomes(node);
+    updateHomes(node);
     m_homes->nodeChanged(node);
 }
 
-void NodeMetrics::showHomes(const Node::Node &node)
+void NodeMetrics::updateHomes(const Node::Node &node)
 {
-    // A shard whose home moved away must not keep its last figures.
-    for (const std::vector<std::string> &labels : m_shownHomes) {
+    // A shard whose home has moved to another router must not keep its last values here.
+    for (const std::vector<std::string> &labels : m_exportedHomes) {
         m_waiting->with(labels).set(0);
         m_permitsInUse->with(labels).set(0);
         m_permitLimit->with(labels).set(0);
     }
-    m_shownHomes.clear();
+    m_exportedHomes.clear();
     for (const auto &[key, home] : node.homes().all()) {
         const std::vector<std::string> labels{key.first.value(), std::to_string(key.second)};
         m_waiting->with(labels).set(static_cast<double>(home->waiting()));
         m_permitsInUse->with(labels).set(static_cast<double>(home->permitsInUse()));
         m_permitLimit->with(labels).set(static_cast<double>(home->permitLimit()));
-        m_shownHomes.push_back(labels);
+        m_exportedHomes.push_back(labels);
     }
 }
 
--- a/src/app/nodemetrics.h
+++ b/src/app/nodemetrics.h
@@ -13,12 +13,15 @@
 
 namespace App {
 
-/// Turns what the node did, and how it stands, into metrics. docs/OPERATIONS.md lists them.
-/// Called on the core's thread.
+/// Exports the requests and the state of the node as metrics. Used on the core thread only.
+///
+/// Some metrics have one value per home. A home is the router that queues the requests of one shard
+/// of a pool, and grants them permits to use a backend server.
 class NodeMetrics final : public Node::NodeObserver, public Daemon::NodeWatcher
 {
 public:
-    /// Registers its metrics in \a registry, which outlives it; fails as the registry does.
+    /// Registers the metrics in \a registry, which must outlive the result. Fails with the errors
+    /// of Metrics::Registry.
     static Base::Result<std::unique_ptr<NodeMetrics>> create(Metrics::Registry &registry);
 
     void hopFinished(const Node::HopRecord &record) override;
@@ -30,7 +33,7 @@
     NodeMetrics() = default;
     Base::Result<void> registerRequests(Metrics::Registry &registry);
     Base::Result<void> registerState(Metrics::Registry &registry);
-    void showHomes(const Node::Node &node);
+    void updateHomes(const Node::Node &node);
 
     Metrics::Family<Metrics::Counter> *m_requests = nullptr;
     Metrics::Family<Metrics::Counter> *m_units = nullptr;
@@ -38,7 +41,7 @@
     Metrics::Counter *m_retries = nullptr;
     Metrics::Family<Metrics::Histogram> *m_queueWait = nullptr;
     Metrics::Family<Metrics::Histogram> *m_firstPart = nullptr;
-    Metrics::Family<Metrics::Histogram> *m_whole = nullptr;
+    Metrics::Family<Metrics::Histogram> *m_requestTime = nullptr;
     Metrics::Gauge *m_ready = nullptr;
     Metrics::Gauge *m_leaving = nullptr;
     Metrics::Gauge *m_version = nullptr;
@@ -47,7 +50,8 @@
     Metrics::Family<Metrics::Gauge> *m_waiting = nullptr;
     Metrics::Family<Metrics::Gauge> *m_permitsInUse = nullptr;
     Metrics::Family<Metrics::Gauge> *m_permitLimit = nullptr;
-    std::vector<std::vector<std::string>> m_shownHomes;
+    /// Labels of the homes that the last update has exported.
+    std::vector<std::vector<std::string>> m_exportedHomes;
     std::unique_ptr<Daemon::HomeMetrics> m_homes;
 };
 
