--- a/src/app/reports.cpp
+++ b/src/app/reports.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Shows the bytes that this router sent to others.
+/// Exports the bytes that this router has sent to other routers.
 class TrafficCollector final : public Metrics::Collector
 {
 public:
@@ -35,11 +35,11 @@
     Metrics::Family<Metrics::Counter> *m_bytes;
 };
 
-/// Shows how many spans were dropped.
-class SpanCollector final : public Metrics::Collector
+/// Exports the number of dropped spans.
+class DroppedSpanCollector final : public Metrics::Collector
 {
 public:
-    SpanCollector(const Tracing::SpanRecorder &recorder, Metrics::Counter &dropped)
+    DroppedSpanCollector(const Tracing::SpanRecorder &recorder, Metrics::Counter &dropped)
         : m_recorder(&recorder)
         , m_dropped(&dropped)
     {}
@@ -64,11 +64,11 @@
     BOOST_LEAF_AUTO(process, Metrics::ProcessCollector::create(reports->m_registry));
     reports->m_registry.addCollector(std::move(process));
     if (!traceFile.empty())
-        BOOST_LEAF_CHECK(reports->startTraces(traceFile));
+        BOOST_LEAF_CHECK(reports->startTracing(traceFile));
     return reports;
 }
 
-Base::Result<void> Reports::startTraces(const std::string &file)
+Base::Result<void> Reports::startTracing(const std::string &file)
 {
     BOOST_LEAF_AUTO(sink, Tracing::FileLineSink::open(file));
     m_recorder = std::make_unique<Tracing::SpanRecorder>(std::move(sink));
@@ -77,7 +77,7 @@
     BOOST_LEAF_AUTO(dropped, m_registry.counters({"lagoonmast_spans_dropped_total",
                                                   "Spans lost since the trace file was too slow",
                                                   {}}));
-    m_registry.addCollector(std::make_unique<SpanCollector>(*m_recorder, dropped->with({})));
+    m_registry.addCollector(std::make_unique<DroppedSpanCollector>(*m_recorder, dropped->with({})));
     return {};
 }
 
@@ -86,7 +86,7 @@
     return {*this, *m_metrics, *this};
 }
 
-Base::Result<void> Reports::watchTraffic(const Daemon::Daemon &daemon)
+Base::Result<void> Reports::addTrafficMetrics(const Daemon::Daemon &daemon)
 {
     BOOST_LEAF_AUTO(
         bytes, m_registry.counters(
--- a/src/app/reports.h
+++ b/src/app/reports.h
@@ -16,19 +16,20 @@
 
 namespace App {
 
-/// What one router tells about itself: its log, metrics and traces, in one place.
+/// Owns the request log, metrics and traces of one router, and passes the node's events to them.
 class Reports final : public Node::NodeObserver, public Daemon::MetricsPage
 {
 public:
-    /// \a traceFile may be empty for no traces. Fails with Tracing::CannotOpenTraceFile.
+    /// Spans are written to \a traceFile, if it is not empty, with ids that depend on \a seed.
+    /// Fails with Tracing::CannotOpenTraceFile.
     static Base::Result<std::unique_ptr<Reports>> create(const std::string &traceFile,
                                                          std::uint64_t seed);
 
-    /// For Daemon::create(). Must outlive the daemon.
+    /// Returns the reports for Daemon::create(). This object must outlive the daemon.
     Daemon::DaemonReports daemonReports();
-    /// Adds the control traffic of \a daemon to the metrics. Its last use of the daemon is a
-    /// metrics page, which the daemon itself serves.
-    Base::Result<void> watchTraffic(const Daemon::Daemon &daemon);
+    /// Adds the control traffic of \a daemon to the metrics. \a daemon is accessed only while a
+    /// metrics page is rendered, which the daemon itself serves.
+    Base::Result<void> addTrafficMetrics(const Daemon::Daemon &daemon);
 
     void hopFinished(const Node::HopRecord &record) override;
     void requestFinished(const Node::RequestRecord &record) override;
@@ -39,7 +40,7 @@
     explicit Reports(std::uint64_t seed)
         : m_random(seed)
     {}
-    Base::Result<void> startTraces(const std::string &file);
+    Base::Result<void> startTracing(const std::string &file);
 
     Metrics::TextRegistry m_registry;
     Daemon::RequestLog m_log;
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -17,14 +17,15 @@
 
 namespace {
 
-/// Ids of spans must differ between processes.
+/// Returns a seed that differs between processes, so that their span ids differ.
 std::uint64_t traceSeed()
 {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 32) | device();
 }
 
-/// Blocked in every thread, and taken by the thread that calls sigtimedwait().
+/// Returns the signals that end the router. They are blocked in every thread and received by
+/// sigtimedwait().
 sigset_t blockedSignals()
 {
     sigset_t signals;
@@ -34,7 +35,7 @@
     return signals;
 }
 
-/// Waits for signals and the end of the shutdown; polls the host list meanwhile.
+/// Waits for a signal and then for the end of the shutdown; polls the list of hosts meanwhile.
 void runUntilFinished(Daemon::Daemon &daemon, const sigset_t &signals)
 {
     const timespec interval{
@@ -62,7 +63,7 @@
         [&]() -> Base::Result<int> {
             BOOST_LEAF_AUTO(reports, App::Reports::create(settings.traceFile, traceSeed()));
             BOOST_LEAF_AUTO(daemon, Daemon::Daemon::create(settings, reports->daemonReports()));
-            BOOST_LEAF_CHECK(reports->watchTraffic(*daemon));
+            BOOST_LEAF_CHECK(reports->addTrafficMetrics(*daemon));
             runUntilFinished(*daemon, signals);
             return 0;
         },
@@ -75,7 +76,8 @@
             return 1;
         },
         [](const Daemon::MalformedAddress &it) {
-            std::fprintf(stderr, "lagoonmast: not an IP:PORT: %s\n", it.text.c_str());
+            std::fprintf(stderr, "lagoonmast: malformed address, expected IP:PORT: %s\n",
+                         it.text.c_str());
             return 1;
         },
         [] {
--- a/src/app/serve.h
+++ b/src/app/serve.h
@@ -2,6 +2,6 @@
 
 #include "daemon/daemonsettings.h"
 
-/// Runs one router until it is told to leave and has finished everything. Returns the
-/// process's exit status: 0 after a shutdown, 1 if it could not start.
+/// Runs one router until it receives SIGTERM or SIGINT and has completed its shutdown. Returns the
+/// exit status of the process: 0 after a shutdown, 1 if the router could not start.
 int serve(const Daemon::DaemonSettings &settings);
