--- a/tests/auto/app/tst_reports.cpp
+++ b/tests/auto/app/tst_reports.cpp
@@ -12,6 +12,7 @@
 
 namespace {
 
+/// A sink that stores lines as JSON.
 class LineList final : public Tracing::LineSink
 {
 public:
@@ -39,8 +40,8 @@
             false};
 }
 
-/// The hops of a request whose first attempt failed, in the order in which the node tells them.
-void playRetriedRequest(Node::NodeObserver &observer)
+/// Reports the hops of a request whose first attempt failed, in the order in which the node does.
+void reportRetriedRequest(Node::NodeObserver &observer)
 {
     observer.hopFinished(hop(Node::Hop::Queue, 0, 10, "entry-2"));
     Node::HopRecord failed = hop(Node::Hop::Backend, 10, 20, "model-1");
@@ -64,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE("Each hop is a span below the entry's, and the entry's is below the caller's")
+TEST_CASE("The parent of each hop's span is the entry span, whose parent is the caller's span")
 {
     std::vector<Json> lines;
     Base::SeededRandom random(3);
@@ -72,8 +73,8 @@
         Tracing::SpanRecorder recorder(std::make_unique<LineList>(lines));
         const Tracing::RecordingTracer tracer(recorder, random);
         App::NodeTraces traces(tracer);
-        playRetriedRequest(traces);
-        // Nothing of a finished request is kept.
+        reportRetriedRequest(traces);
+        // The hops of a finished request must not be recorded again.
         traces.requestFinished({key, {}, {}, false, {}, {}, {}, {}, 0, 0});
     }
     REQUIRE(lines.size() == 5);
@@ -96,12 +97,12 @@
     CHECK_FALSE(lines[4]["tags"].contains("failed"));
 }
 
-TEST_CASE("A request shows in the metrics by class, outcome and customer")
+TEST_CASE("Requests are counted by class, outcome and customer")
 {
     Metrics::TextRegistry registry;
     auto metrics = App::NodeMetrics::create(registry);
     REQUIRE(metrics);
-    playRetriedRequest(**metrics);
+    reportRetriedRequest(**metrics);
     Node::RequestRecord refused;
     refused.isFailed = true;
     refused.failure = Node::FailureType::Overloaded;
