--- a/src/libs/base/ids.h
+++ b/src/libs/base/ids.h
@@ -35,7 +35,7 @@
 /// An availability zone.
 using ZoneId = StrongId<struct ZoneTag>;
 using RegionId = StrongId<struct RegionTag>;
-/// A customer, that is, a tenant with its own key and share of the service.
+/// A customer, which has its own key and its own share of the service.
 using CustomerId = StrongId<struct CustomerTag>;
 /// A class of work, which has a target for the start of answers.
 using ClassId = StrongId<struct ClassTag>;
@@ -45,8 +45,8 @@
 
 /// Number of a start of a host; a later start has a larger number.
 using Incarnation = std::uint64_t;
-/// Weighted amount of service, in tokens: prompt tokens count once, generated
-/// tokens Node::generatedTokenWeight times.
+/// Weighted amount of service, in tokens: prompt tokens count once, generated tokens
+/// Node::generatedTokenWeight times.
 using ServiceUnits = std::uint64_t;
 
 /// Identifies one request in the whole fleet by its entry host, which received it from the caller,
--- a/src/libs/tracing/recordingtracer.cpp
+++ b/src/libs/tracing/recordingtracer.cpp
@@ -36,9 +36,9 @@
 const TraceParent *parentOf(const opentracing::StartSpanOptions &options)
 {
     for (const auto &[type, context] : options.references) {
-        const auto *recording = dynamic_cast<const RecordingContext *>(context);
-        if (recording)
-            return &recording->traceParent();
+        const auto *recordingContext = dynamic_cast<const RecordingContext *>(context);
+        if (recordingContext)
+            return &recordingContext->traceParent();
     }
     return nullptr;
 }
@@ -46,10 +46,10 @@
 expected<void> injectText(const opentracing::SpanContext &context,
                           const opentracing::TextMapWriter &writer)
 {
-    const auto *recording = dynamic_cast<const RecordingContext *>(&context);
-    if (!recording)
+    const auto *recordingContext = dynamic_cast<const RecordingContext *>(&context);
+    if (!recordingContext)
         return opentracing::make_unexpected(opentracing::invalid_span_context_error);
-    return writer.Set(headerName, toString(recording->traceParent()));
+    return writer.Set(headerName, toString(recordingContext->traceParent()));
 }
 
 /// Returns null for a malformed header, which is not an error: the standard requires that a new
@@ -119,10 +119,10 @@
 expected<void> RecordingTracer::Inject(const opentracing::SpanContext &context,
                                        std::ostream &writer) const
 {
-    const auto *recording = dynamic_cast<const RecordingContext *>(&context);
-    if (!recording)
+    const auto *recordingContext = dynamic_cast<const RecordingContext *>(&context);
+    if (!recordingContext)
         return opentracing::make_unexpected(opentracing::invalid_span_context_error);
-    writer << toString(recording->traceParent());
+    writer << toString(recordingContext->traceParent());
     return {};
 }
 
--- a/tests/auto/base/tst_boundedring.cpp
+++ b/tests/auto/base/tst_boundedring.cpp
@@ -5,7 +5,7 @@
 
 #include <deque>
 
-TEST_CASE("a bounded ring keeps the order and its capacity", "[base]")
+TEST_CASE("a bounded ring keeps the order and does not exceed its capacity", "[base]")
 {
     rc::prop("behaves like a std::deque of bounded size", [](const std::vector<bool> &steps) {
         constexpr std::size_t capacity = 3;
