--- a/tests/support/fakes.h
+++ b/tests/support/fakes.h
@@ -10,10 +10,11 @@
 #include <utility>
 #include <vector>
 
-/// Small fakes for the interfaces of a node. Each only records what it was asked; the test
-/// decides what comes of it.
+/// Small fakes for the interfaces of a node. Each one only records the calls that it receives;
+/// the test decides how they are answered.
 namespace Fakes {
 
+/// Everything that a node sent to one caller.
 struct CallerLog
 {
     std::optional<Node::AnswerHead> head;
@@ -24,6 +25,7 @@
     std::optional<Node::TargetList> targets;
 };
 
+/// Records the answers that a node sends to its callers.
 class Callers final : public Node::CallerPort
 {
 public:
@@ -53,12 +55,14 @@
     std::map<Node::CallerId, CallerLog> logs;
 };
 
+/// One message that a node sent to another host.
 struct SentMessage
 {
     Base::HostId to;
     Node::PeerMessage message;
 };
 
+/// Records the messages that a node sends to other hosts; delivers none.
 class Peers final : public Node::PeerTransport
 {
 public:
@@ -71,6 +75,7 @@
     std::deque<SentMessage> sent;
 };
 
+/// Records the requests that a node sends to backend servers; answers none.
 class Backends final : public Node::BackendClient
 {
 public:
@@ -90,8 +95,8 @@
     std::vector<Base::ServerId> polled;
 };
 
-/// The platform's table as one copy of the truth, shared by the nodes of a test. Answers wait
-/// in `answers` until the test hands them on, drops them or turns them into Unknown.
+/// The platform's table in memory. All nodes of a test share one instance, so that each sees the
+/// writes of the others. Every call takes effect and is answered at once.
 class Table
 {
 public:
@@ -141,7 +146,8 @@
     Storage::RowVersion lastVersion = 0;
 };
 
-/// One node's connection to the shared table.
+/// One node's connection to the shared table. A call takes effect at once; its answer waits in
+/// `answers` until the test passes it on, drops it or replaces it by Unknown.
 class TableConnection final : public Storage::TableService
 {
 public:
@@ -170,6 +176,7 @@
     Table *m_table;
 };
 
+/// An object store that never answers.
 class Objects final : public Storage::ObjectStore
 {
 public:
@@ -177,6 +184,7 @@
     void get(Storage::OperationId, const std::string &) override {}
 };
 
+/// Records the finished hops and requests, and counts the retries.
 class Observer final : public Node::NodeObserver
 {
 public:
@@ -189,6 +197,7 @@
     int retries = 0;
 };
 
+/// A wall clock that the test sets.
 class FixedWallClock final : public Node::WallClock
 {
 public:
