--- a/tests/support/faultytable.h
+++ b/tests/support/faultytable.h
@@ -12,18 +12,23 @@
 
 namespace Fakes {
 
-/// Shares, in percent, of the calls that meet each fault, and the longest delay each way.
+/// The faults of a FaultyTable. Shares are percentages of the calls.
 struct TableFaults
 {
+    /// Calls that are answered with NotDone and never take effect.
     std::uint64_t refused = 0;
+    /// Calls that never take effect; half of them are answered with Unknown, the others not at all.
     std::uint64_t requestLost = 0;
     std::uint64_t answerLost = 0;
-    std::uint64_t doubled = 0;
+    /// Answers that arrive twice.
+    std::uint64_t duplicated = 0;
+    /// Longest delay of a request, and of an answer.
     Base::Duration longestDelay = std::chrono::milliseconds(5);
 };
 
-/// One node's connection to the shared table over a bad network: requests and answers are
-/// delayed, lost and doubled. A write may take effect long after its caller gave up.
+/// One node's connection to the shared table over an unreliable network: requests and answers are
+/// delayed and lost, answers are also duplicated. A write may take effect long after its caller
+/// gave up.
 class FaultyTable final : public Storage::TableService
 {
 public:
@@ -35,29 +40,29 @@
     void read(Storage::OperationId operation, const std::string &key) override
     {
         ++readCalls;
-        m_called.push_back({operation, Kind::Read, key, {}, 0, {}});
+        m_newRequests.push_back({operation, Kind::Read, key, {}, 0, {}});
     }
     void scan(Storage::OperationId operation, const std::string &prefix, const std::string &after,
               std::size_t limit) override
     {
         ++readCalls;
-        m_called.push_back({operation, Kind::Scan, prefix, after, limit, {}});
+        m_newRequests.push_back({operation, Kind::Scan, prefix, after, limit, {}});
     }
     void transact(Storage::OperationId operation,
                   const std::vector<Storage::TableWrite> &writes) override
     {
         ++writeCalls;
-        m_called.push_back({operation, Kind::Transact, {}, {}, 0, writes});
+        m_newRequests.push_back({operation, Kind::Transact, {}, {}, 0, writes});
     }
 
-    /// Lets time pass; returns the answers that arrive.
+    /// Advances the time to \a now; returns the answers that have arrived by then.
     std::vector<Storage::TableOutcome> step(Base::TimePoint now)
     {
-        for (const Request &it : std::exchange(m_called, {}))
-            depart(it, now);
-        while (!m_underWay.empty() && m_underWay.begin()->first <= now) {
-            const Request request = m_underWay.begin()->second;
-            m_underWay.erase(m_underWay.begin());
+        for (const Request &it : std::exchange(m_newRequests, {}))
+            dispatch(it, now);
+        while (!m_inFlight.empty() && m_inFlight.begin()->first <= now) {
+            const Request request = m_inFlight.begin()->second;
+            m_inFlight.erase(m_inFlight.begin());
             answer(run(request), now);
         }
         std::vector<Storage::TableOutcome> arrived;
@@ -71,7 +76,7 @@
     TableFaults faults;
     std::size_t readCalls = 0;
     std::size_t writeCalls = 0;
-    /// Values written, in order, each time they were.
+    /// The written values in the order of their writes; a value written twice is listed twice.
     std::vector<std::string> written;
 
 private:
@@ -93,14 +98,14 @@
         return Base::Duration(m_random.next() % (longest + 1));
     }
 
-    void depart(const Request &request, Base::TimePoint now)
+    void dispatch(const Request &request, Base::TimePoint now)
     {
         if (chance(faults.refused)) {
             answer({request.operation, Storage::TableStatus::NotDone, {}}, now);
             return;
         }
         if (!chance(faults.requestLost))
-            m_underWay.emplace(now + delay(), request);
+            m_inFlight.emplace(now + delay(), request);
         else if (chance(50))
             answer({request.operation, Storage::TableStatus::Unknown, {}}, now);
     }
@@ -122,14 +127,14 @@
         if (chance(faults.answerLost))
             return;
         m_answers.emplace(now + delay(), outcome);
-        if (chance(faults.doubled))
+        if (chance(faults.duplicated))
             m_answers.emplace(now + delay(), outcome);
     }
 
     Table *m_table;
     Base::SeededRandom m_random;
-    std::vector<Request> m_called;
-    std::multimap<Base::TimePoint, Request> m_underWay;
+    std::vector<Request> m_newRequests;
+    std::multimap<Base::TimePoint, Request> m_inFlight;
     std::multimap<Base::TimePoint, Storage::TableOutcome> m_answers;
 };
 
