--- a/tests/support/loadedfleet.h
+++ b/tests/support/loadedfleet.h
@@ -9,6 +9,7 @@
 
 namespace Fakes {
 
+/// Submits the requests of a workload to the routers of a virtual fleet.
 class FleetSubmitter final : public Measure::Submitter
 {
 public:
@@ -27,7 +28,8 @@
     VirtualFleet::Fleet *m_fleet;
 };
 
-/// A fleet with callers at it and a meter on it, from the time when all routers are ready.
+/// A virtual fleet with a workload and a meter. The constructor runs the fleet until all routers
+/// are ready and the workload has run for two seconds; the meter starts after that.
 class LoadedFleet
 {
 public:
