--- a/tests/support/manualtable.h
+++ b/tests/support/manualtable.h
@@ -7,17 +7,18 @@
 
 namespace Fakes {
 
-/// What happens to one call of the table.
+/// How one call of the table completes.
 enum class Fate {
-    Answered,
-    Refused,           ///< NotDone.
-    LostBefore,        ///< Unknown; it never takes effect.
-    LostAfter,         ///< Unknown, though it took effect.
-    LostAndLate,       ///< Unknown, and it takes effect later (flushLate()).
-    AnsweredFromBefore ///< A read answers with what it saw when it was sent.
+    Answered,          ///< The call takes effect and returns its result.
+    Refused,           ///< The call returns NotDone and never takes effect.
+    LostBefore,        ///< The call returns Unknown and never takes effect.
+    LostAfter,         ///< The call returns Unknown although it takes effect.
+    LostAndLate,       ///< The call returns Unknown and takes effect in flushLate().
+    AnsweredFromBefore ///< A read returns the rows as they were when it was sent.
 };
 
-/// One node's connection to the shared table; the test decides order and fate of every call.
+/// One node's connection to the shared table. The test decides when each call completes, in which
+/// order and how.
 class ManualTable final : public Storage::TableService
 {
 public:
@@ -43,9 +44,10 @@
             [this, operation, writes] { return m_table->transact(operation, writes); });
     }
 
+    /// Number of calls that have not completed.
     std::size_t waiting() const { return m_calls.size(); }
 
-    /// Ends the call at position \a at and returns its outcome.
+    /// Completes the call at position \a at in the order of sending, and returns its outcome.
     Storage::TableOutcome end(std::size_t at, Fate fate)
     {
         Call call = m_calls[at];
@@ -65,17 +67,18 @@
             m_late.push_back(call.run);
             return lost;
         case Fate::AnsweredFromBefore:
-            return call.isWrite ? call.run() : call.seenAtSending;
+            return call.isWrite ? call.run() : call.outcomeAtSending;
         }
         return lost;
     }
 
-    /// Lets the call take effect now; its answer still waits.
+    /// Applies the call at position \a at; its outcome is returned later by end().
     void land(std::size_t at)
     {
         m_calls[at].run = [outcome = m_calls[at].run()]() mutable { return outcome; };
     }
 
+    /// Applies every call that completed with LostAndLate.
     void flushLate()
     {
         for (const auto &run : m_late)
@@ -89,7 +92,7 @@
         Storage::OperationId operation = 0;
         bool isWrite = false;
         std::function<Storage::TableOutcome()> run;
-        Storage::TableOutcome seenAtSending;
+        Storage::TableOutcome outcomeAtSending; ///< Of a read only.
     };
 
     void add(Storage::OperationId operation, bool isWrite,
