--- a/tests/support/routerpair.h
+++ b/tests/support/routerpair.h
@@ -8,12 +8,14 @@
 #include <memory>
 #include <vector>
 
-/// Two routers of one fleet in one process, with fakes for all that is outside them.
+/// Two routers of one fleet in one process. Everything outside them is a fake.
 namespace RouterPair {
 
+/// Digest of the key of the customer "dealer".
 inline const std::string digest = "d1";
 
-/// Two routers, one model server; messages and table answers pass at once.
+/// Two routers, r1 and r2, and one model server, s1. Messages between the routers and answers of
+/// the table are delivered without delay.
 class Pair
 {
 public:
@@ -55,6 +57,7 @@
         run(std::chrono::seconds(2));
     }
 
+    /// Runs both routers for \a length of simulated time, in steps of 10 ms.
     void run(Base::Duration length)
     {
         const Base::TimePoint end = m_now + length;
@@ -66,13 +69,14 @@
         }
     }
 
+    /// Delivers messages and answers until none is left.
     void settle()
     {
         bool isBusy = true;
         while (isBusy) {
             isBusy = false;
             for (auto &router : m_routers)
-                isBusy = pass(*router) || isBusy;
+                isBusy = deliver(*router) || isBusy;
         }
     }
 
@@ -99,14 +103,16 @@
     };
 
     Router &router(std::size_t i) { return *m_routers[i]; }
-    /// Messages between the routers wait until they are let go.
+    /// While \a isHeld, messages between the routers are queued and not delivered.
     void holdMessages(bool isHeld) { m_isHeld = isHeld; }
-    /// Time passes while no process runs: all are suspended.
+    /// Advances the time by \a length without running the routers, as if both processes were
+    /// suspended.
     void suspend(Base::Duration length) { m_now += length; }
     Base::TimePoint now() const { return m_now; }
 
 private:
-    bool pass(Router &from)
+    /// Delivers the messages and answers that wait at \a from; returns whether there were any.
+    bool deliver(Router &from)
     {
         bool isBusy = false;
         while (!m_isHeld && !from.peers.sent.empty()) {
@@ -133,6 +139,7 @@
     Base::TimePoint m_now{std::chrono::seconds(1)};
 };
 
+/// A streamed request of the customer "dealer" to the model "m", in the class "tags".
 inline Node::CallerRequest chatRequest(Node::CallerId caller)
 {
     Node::CallerRequest request;
