--- a/tests/support/settingsfaults.h
+++ b/tests/support/settingsfaults.h
@@ -8,7 +8,8 @@
 
 namespace Support {
 
-/// The faults that \a parse fails with; none if it succeeds.
+/// Calls \a parse, which returns a Base::Result, and returns the faults that it reports; empty if
+/// it succeeds. An error of another type is returned as one fault that names no key.
 template <typename Parse>
 std::vector<Settings::SettingsFault> faultsOf(Parse parse)
 {
