--- a/tests/support/witness.h
+++ b/tests/support/witness.h
@@ -11,7 +11,7 @@
 
 namespace Fakes {
 
-/// What one caller got.
+/// One request and what its caller received.
 struct Testimony
 {
     VirtualFleet::Work work;
@@ -24,7 +24,7 @@
     std::vector<Node::Failure> failures;
 
     bool hasFinalAnswer() const { return isFinished || !failures.empty(); }
-    /// Every part is of this request, in order, none missing.
+    /// Whether the answer consists of every part of this request, in order, and of nothing else.
     bool isWhole() const
     {
         for (std::size_t i = 0; i < parts.size(); ++i) {
@@ -37,7 +37,7 @@
     }
 };
 
-/// Sends requests to a virtual fleet and remembers what became of each.
+/// Sends requests to a virtual fleet and records the answer to each.
 class Witness final : public VirtualFleet::CallerListener
 {
 public:
@@ -47,6 +47,8 @@
         fleet.setListener(this);
     }
 
+    /// Sends a request to \a router and returns its caller; 0 if the router is down. A request with
+    /// an idempotency \a key is not repeatable.
     Node::CallerId ask(std::size_t router, const Base::CustomerId &customer,
                        const std::string &workClass, std::uint32_t promptTokens,
                        std::uint32_t generatedTokens, const std::string &key = {})
@@ -75,13 +77,14 @@
         return caller;
     }
 
-    /// Whether the request's entry host is still the start that took it, and works.
+    /// Whether the router that took the request has neither restarted nor frozen since.
     bool isEntryAlive(const Testimony &testimony) const
     {
         const VirtualFleet::VirtualRouter *router = m_fleet->router(testimony.router);
         return router && !router->isFrozen() && router->incarnation() == testimony.incarnation;
     }
 
+    /// How often the backend servers started the request with this \a serial.
     std::size_t timesRun(std::uint64_t serial) const
     {
         std::size_t times = 0;
