--- a/tests/standins/appserverstandin/appservice.cpp
+++ b/tests/standins/appserverstandin/appservice.cpp
@@ -14,10 +14,10 @@
 
 std::vector<OptionSpec> AppService::optionSpecs()
 {
-    return {{"name", "app", "name in the answers"},
-            {"check-fences", "false", "refuse a call with an old fencing number"},
-            {"work-ms", "5", "time of one call"},
-            {"slots", "16", "slots in the load report"}};
+    return {{"name", "app", "server name in the answers"},
+            {"check-fences", "false", "refuse calls with an old fencing token"},
+            {"work-ms", "5", "run time of a call, in milliseconds"},
+            {"slots", "16", "number of slots in the load report"}};
 }
 
 Base::Result<std::unique_ptr<Service>> AppService::create(const Options &options)
--- a/tests/standins/appserverstandin/appservice.h
+++ b/tests/standins/appserverstandin/appservice.h
@@ -12,7 +12,7 @@
 
 namespace StandIn {
 
-/// An application server that answers every call with what it was asked.
+/// An application server that answers every POST with the path and the body of the request.
 class AppService final : public Service
 {
 public:
@@ -33,7 +33,7 @@
     std::atomic<std::uint64_t> m_running = 0;
     Faults m_faults;
     Journal m_journal;
-    FenceBook m_fences;
+    FencingTokens m_fences;
 };
 
 } // namespace StandIn
--- a/tests/standins/common/journal.cpp
+++ b/tests/standins/common/journal.cpp
@@ -39,7 +39,7 @@
     return jsonResponse(200, {{"requests", requests}});
 }
 
-bool FenceBook::accept(const std::string &key, std::uint64_t fence)
+bool FencingTokens::accept(const std::string &key, std::uint64_t fence)
 {
     const std::lock_guard lock(m_mutex);
     std::uint64_t &largest = m_largest[key];
--- a/tests/standins/common/journal.h
+++ b/tests/standins/common/journal.h
@@ -10,14 +10,14 @@
 
 namespace StandIn {
 
-/// Every request that began to run, in order; what the proofs of "not run" and "at most once"
-/// look at.
+/// Records every request that began to run, in order. Tests use it to check that a request did not
+/// run, or ran at most once. Thread-safe.
 class Journal
 {
 public:
-    /// Returns the number of the new entry.
+    /// Adds an entry with the state "begun" and returns its number.
     std::size_t begin(const HttpRequest &request);
-    /// \a state is "finished" or "cancelled".
+    /// Sets the state of \a entry to \a state: "finished" or "cancelled".
     void end(std::size_t entry, const std::string &state);
     /// Answers GET /journal: {"requests":[...]}.
     HttpResponse handle() const;
@@ -37,11 +37,12 @@
     std::vector<Entry> m_entries;
 };
 
-/// The largest fencing number seen for each idempotency key, for a server that checks them.
-class FenceBook
+/// Records the largest fencing token seen for each idempotency key, for a server that refuses older
+/// ones. Thread-safe.
+class FencingTokens
 {
 public:
-    /// False if \a fence is smaller than one already seen for \a key.
+    /// Returns false if \a fence is smaller than a token already seen for \a key.
     bool accept(const std::string &key, std::uint64_t fence);
 
 private:
--- a/tests/standins/modelserverstandin/modelservice.h
+++ b/tests/standins/modelserverstandin/modelservice.h
@@ -13,10 +13,10 @@
 
 namespace StandIn {
 
-/// A model server as docs/PROTOCOLS.md describes it.
+/// A model server with an Engine and a PrefixCache; docs/PROTOCOLS.md describes its protocol.
 ///
-/// Its answers follow from the prompt alone: token i of an answer is "w<i>-<hash of the
-/// prompt>", so a test can see that an answer belongs to its own request and is whole.
+/// An answer depends on the prompt only: its token i is "w<i>-<hash of the prompt>". A test can
+/// therefore check that an answer belongs to its own request and is complete.
 class ModelService final : public Service
 {
 public:
@@ -41,7 +41,7 @@
     bool m_isCheckingFences;
     Faults m_faults;
     Journal m_journal;
-    FenceBook m_fences;
+    FencingTokens m_fences;
     PrefixCache m_cache;
     std::mutex m_orderMutex;
     std::vector<std::string> m_orders;
