--- a/tests/standins/modelserverstandin/engine.cpp
+++ b/tests/standins/modelserverstandin/engine.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t keptLoadSamples = 10000;
+constexpr std::size_t maxLoadSamples = 10000;
 
 } // namespace
 
@@ -32,10 +32,12 @@
 std::string Engine::submit(Generation generation)
 {
     const std::lock_guard lock(m_mutex);
-    // The start's time keeps the names of a killed server's streams out of its next life.
-    std::string name = std::to_string(m_start) + "-" + std::to_string(++m_lastName);
+    // The start time in the name keeps a stream of a killed server from being resumed at the server
+    // that replaces it.
+    std::string name = std::to_string(m_start) + "-" + std::to_string(++m_lastNumber);
     auto stream = std::make_shared<Stream>();
-    stream->promptLeft = static_cast<double>(generation.promptWork) * m_policy.msPerPromptToken;
+    stream->promptLeftMs =
+        static_cast<double>(generation.uncachedPromptTokens) * m_policy.msPerPromptToken;
     stream->generation = std::move(generation);
     stream->lastRead = Clock::now();
     m_streams[name] = stream;
@@ -58,9 +60,10 @@
     if (it == m_streams.end())
         return std::nullopt;
     const std::shared_ptr<Stream> stream = it->second;
-    m_changed.wait_for(lock, limit, [&] { return stream->made > index || stream->isEnded; });
+    m_changed.wait_for(lock, limit,
+                       [&] { return stream->generatedEvents > index || stream->isEnded; });
     stream->lastRead = Clock::now();
-    if (stream->made > index)
+    if (stream->generatedEvents > index)
         return stream->generation.eventText(index);
     if (stream->isEnded)
         return std::nullopt;
@@ -92,14 +95,14 @@
 EngineLoad Engine::load() const
 {
     const std::lock_guard lock(m_mutex);
-    const Clock::time_point seenUntil = Clock::now() - m_policy.loadLag;
-    EngineLoad shown;
+    const Clock::time_point visibleUntil = Clock::now() - m_policy.loadLag;
+    EngineLoad visible;
     for (const LoadSample &sample : m_samples) {
-        if (sample.at > seenUntil)
+        if (sample.at > visibleUntil)
             break;
-        shown = sample.load;
+        visible = sample.load;
     }
-    return shown;
+    return visible;
 }
 
 void Engine::run()
@@ -115,7 +118,7 @@
 
 void Engine::step()
 {
-    dropUnread();
+    evictUnread();
     if (m_faults->peek().mode == "frozen")
         return;
     admit();
@@ -132,7 +135,7 @@
         const std::string name = m_queue.front();
         m_queue.pop_front();
         Stream &stream = *m_streams.at(name);
-        stream.isBegun = true;
+        stream.isStarted = true;
         stream.generation.onBegin();
         m_running.push_back(name);
     }
@@ -140,30 +143,30 @@
 
 void Engine::advance(Stream &stream)
 {
-    if (stream.promptLeft > 0) {
-        stream.promptLeft -= m_policy.msPerToken;
+    if (stream.promptLeftMs > 0) {
+        stream.promptLeftMs -= m_policy.msPerToken;
         return;
     }
-    ++stream.made;
-    if (stream.made < stream.generation.tokens)
+    ++stream.generatedEvents;
+    if (stream.generatedEvents < stream.generation.tokens)
         return;
-    // The last token and the usage leave in one step.
-    stream.made = stream.eventCount();
+    // The event of the last token and the event of the usage are sent in the same step.
+    stream.generatedEvents = stream.eventCount();
     end(stream, "finished");
 }
 
 void Engine::end(Stream &stream, const std::string &state)
 {
-    if (!stream.isEnded && stream.isBegun)
+    if (!stream.isEnded && stream.isStarted)
         stream.generation.onEnd(state);
     stream.isEnded = true;
 }
 
-void Engine::dropUnread()
+void Engine::evictUnread()
 {
-    const Clock::time_point readSince = Clock::now() - m_policy.keepTime;
+    const Clock::time_point oldestRead = Clock::now() - m_policy.keepTime;
     for (auto it = m_streams.begin(); it != m_streams.end();) {
-        if (it->second->lastRead >= readSince) {
+        if (it->second->lastRead >= oldestRead) {
             ++it;
             continue;
         }
@@ -182,16 +185,16 @@
     if (isSame)
         return;
     m_samples.push_back({Clock::now(), load});
-    if (m_samples.size() > keptLoadSamples)
+    if (m_samples.size() > maxLoadSamples)
         m_samples.pop_front();
 }
 
 Engine::Clock::duration Engine::stepTime() const
 {
     const FaultPlan fault = m_faults->peek();
-    const std::chrono::duration<double, std::milli> pace(m_policy.msPerToken);
-    const auto slowed = fault.mode == "slow" ? pace + fault.delay : pace;
-    return std::chrono::duration_cast<Clock::duration>(slowed);
+    const std::chrono::duration<double, std::milli> normalStep(m_policy.msPerToken);
+    const auto step = fault.mode == "slow" ? normalStep + fault.delay : normalStep;
+    return std::chrono::duration_cast<Clock::duration>(step);
 }
 
 } // namespace StandIn
--- a/tests/standins/modelserverstandin/engine.h
+++ b/tests/standins/modelserverstandin/engine.h
@@ -18,38 +18,44 @@
 
 namespace StandIn {
 
+/// Speed and limits of an engine.
 struct EnginePolicy
 {
+    /// Number of streams that run at once.
     std::size_t slots = 4;
+    /// Length of a step, which generates a token for each running stream.
     double msPerToken = 5;
     double msPerPromptToken = 0.2;
-    /// Time a stream runs on, or a finished one is kept, without a reader.
+    /// Time for which a stream without a reader runs on, or is kept once it has finished.
     std::chrono::milliseconds keepTime{3000};
+    /// Age of the reported load.
     std::chrono::milliseconds loadLag{200};
 };
 
-/// What one request asks the engine to do.
+/// The work of one request.
 struct Generation
 {
-    /// Prompt tokens that have to be worked on, those in the prefix cache left out.
-    std::uint64_t promptWork = 0;
+    /// Number of prompt tokens that are not in the prefix cache.
+    std::uint64_t uncachedPromptTokens = 0;
+    /// Number of tokens to generate.
     std::uint64_t tokens = 0;
-    /// Text of each event of the answer; the last one carries the usage.
+    /// Returns the text of an event by its index; the last event carries the usage.
     std::function<std::string(std::uint64_t)> eventText;
-    /// Told when the stream gets a slot.
+    /// Called when the stream gets a slot.
     std::function<void()> onBegin;
-    /// Told "finished" or "cancelled", if it began.
+    /// Called with "finished" or "cancelled" when a stream that got a slot ends.
     std::function<void(const std::string &)> onEnd;
 };
 
+/// Number of streams that run, and of those that wait for a slot.
 struct EngineLoad
 {
     std::size_t running = 0;
     std::size_t queued = 0;
 };
 
-/// A model engine that batches continuously: it admits in the order of arrival, knows no
-/// priorities, and makes one token for each stream in a slot at each step.
+/// A model engine with continuous batching: it admits streams in the order of their arrival,
+/// without priorities, and generates one token for each running stream at each step. Thread-safe.
 class Engine
 {
 public:
@@ -58,18 +64,19 @@
     Engine(const Engine &) = delete;
     Engine &operator=(const Engine &) = delete;
 
-    /// Returns the stream's name.
+    /// Queues \a generation and returns the name of its stream.
     std::string submit(Generation generation);
     bool hasStream(const std::string &name) const;
-    /// Waits at most \a limit for event \a index. An empty text: not there yet.
-    /// Nothing: the stream was cancelled or never had that event.
+    /// Waits at most \a limit for the event \a index and returns its text. The text is empty if the
+    /// event does not exist yet; std::nullopt means that the stream was cancelled or has no such
+    /// event.
     std::optional<std::string> event(const std::string &name, std::uint64_t index,
                                      std::chrono::milliseconds limit);
-    /// Number of events of the whole answer; 0 if there is no such stream.
+    /// Number of events in the complete answer; 0 if there is no such stream.
     std::uint64_t eventCount(const std::string &name) const;
-    /// Returns whether there was such a stream.
+    /// Ends the stream \a name. Returns false if there is no such stream.
     bool cancel(const std::string &name);
-    /// The load as it was a while ago.
+    /// The load as it was EnginePolicy::loadLag ago.
     EngineLoad load() const;
 
 private:
@@ -77,9 +84,9 @@
     struct Stream
     {
         Generation generation;
-        double promptLeft = 0; ///< In milliseconds of work.
-        std::uint64_t made = 0;
-        bool isBegun = false;
+        double promptLeftMs = 0; ///< Time left to process the prompt.
+        std::uint64_t generatedEvents = 0;
+        bool isStarted = false;
         bool isEnded = false;
         Clock::time_point lastRead;
 
@@ -96,7 +103,7 @@
     void admit();
     void advance(Stream &stream);
     void end(Stream &stream, const std::string &state);
-    void dropUnread();
+    void evictUnread();
     void sampleLoad();
     Clock::duration stepTime() const;
 
@@ -108,7 +115,7 @@
     std::deque<std::string> m_queue;
     std::vector<std::string> m_running;
     std::deque<LoadSample> m_samples;
-    std::uint64_t m_lastName = 0;
+    std::uint64_t m_lastNumber = 0;
     std::uint64_t m_start;
     bool m_isStopping = false;
     std::thread m_thread;
--- a/tests/standins/modelserverstandin/modelservice.cpp
+++ b/tests/standins/modelserverstandin/modelservice.cpp
@@ -21,7 +21,7 @@
 constexpr char streamsPath[] = "/v1/streams/";
 constexpr char doneEvent[] = "data: [DONE]\n\n";
 
-/// All the words of a chat, in order.
+/// The contents of all messages of a chat, in order.
 std::string promptOf(const Json &body)
 {
     std::string prompt;
@@ -52,7 +52,7 @@
     return buf;
 }
 
-/// What is said in answer to one prompt.
+/// The generated answer to one prompt.
 struct Answer
 {
     std::string model;
@@ -84,7 +84,7 @@
     }
 };
 
-/// Reads a stream of the engine for one connection.
+/// Sends the events of an engine's stream to one connection, from \a index on.
 class EventBody final : public BodyStream
 {
 public:
@@ -154,15 +154,16 @@
 
 std::vector<OptionSpec> ModelService::optionSpecs()
 {
-    return {{"slots", "4", "streams that run at once"},
-            {"ms-per-token", "5", "time of one step, which makes a token for each stream"},
-            {"ms-per-prompt-token", "0.2", "time for each prompt token outside the cache"},
-            {"keep-ms", "3000", "time that a stream without a reader is kept"},
-            {"load-lag-ms", "200", "age of the load report"},
-            {"cached-prefixes", "64", "prefixes in the cache"},
-            {"cache-event-lag-ms", "200", "age at which cache events are told"},
-            {"lose-cache-event-every", "0", "number of events of which one is lost; 0: none"},
-            {"check-fences", "false", "refuse work and orders with an old fencing number"}};
+    return {
+        {"slots", "4", "number of streams that run at once"},
+        {"ms-per-token", "5", "length of a step, which generates a token for each running stream"},
+        {"ms-per-prompt-token", "0.2", "time to process a prompt token that is not in the cache"},
+        {"keep-ms", "3000", "time for which a stream without a reader is kept"},
+        {"load-lag-ms", "200", "age of the load report"},
+        {"cached-prefixes", "64", "number of prefixes in the cache"},
+        {"cache-event-lag-ms", "200", "age at which cache events are reported"},
+        {"lose-cache-event-every", "0", "lose every Nth cache event; 0: none"},
+        {"check-fences", "false", "refuse work and orders with an old fencing token"}};
 }
 
 Base::Result<std::unique_ptr<Service>> ModelService::create(const Options &options)
@@ -237,7 +238,7 @@
     Generation generation;
     const std::string prefix = request.header("X-Prefix");
     const bool isCached = !prefix.empty() && m_cache.use(prefix);
-    generation.promptWork = isCached ? 0 : answer.promptTokens;
+    generation.uncachedPromptTokens = isCached ? 0 : answer.promptTokens;
     generation.tokens = answer.tokens;
     generation.eventText = [answer](std::uint64_t index) { return answer.eventText(index); };
     auto entry = std::make_shared<std::size_t>(0);
@@ -250,8 +251,8 @@
 HttpResponse ModelService::streamFrom(const HttpRequest &request, const std::string &name,
                                       std::uint64_t index, const FaultPlan &fault)
 {
-    // The head leaves with the first event. A caller that hangs up before it can't name its
-    // stream, so the stream ends with the connection.
+    // The head of the answer is sent with the first event. A caller that hangs up earlier does not
+    // know the stream's name and cannot resume it, so the stream is cancelled.
     while (true) {
         const std::optional<std::string> first = m_engine.event(name, index, hangupCheckInterval);
         if (!first || !first->empty())
@@ -305,7 +306,7 @@
     const Json body = Json::parse(request.body, nullptr, false);
     if (!body.is_object())
         return errorResponse(400, "no JSON object");
-    // All orders to one server share one line of fencing numbers.
+    // All orders to a server share one sequence of fencing tokens.
     if (m_isCheckingFences && !m_fences.accept("", numberOf(body, "fence")))
         return errorResponse(409, "old fencing number");
     const std::lock_guard lock(m_orderMutex);
