--- a/tests/standins/modelserverstandin/prefixcache.cpp
+++ b/tests/standins/modelserverstandin/prefixcache.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-constexpr std::size_t keptEvents = 10000;
+constexpr std::size_t maxEvents = 10000;
 
 } // namespace
 
 bool PrefixCache::use(const std::string &prefix)
 {
     const std::lock_guard lock(m_mutex);
-    const auto it = std::find(m_recent.begin(), m_recent.end(), prefix);
-    if (it != m_recent.end()) {
-        m_recent.splice(m_recent.begin(), m_recent, it);
+    const auto it = std::find(m_prefixes.begin(), m_prefixes.end(), prefix);
+    if (it != m_prefixes.end()) {
+        m_prefixes.splice(m_prefixes.begin(), m_prefixes, it);
         return true;
     }
     if (m_policy.capacity == 0)
         return false;
-    if (m_recent.size() >= m_policy.capacity) {
-        record(false, m_recent.back());
-        m_recent.pop_back();
+    if (m_prefixes.size() >= m_policy.capacity) {
+        record(false, m_prefixes.back());
+        m_prefixes.pop_back();
     }
-    m_recent.push_front(prefix);
+    m_prefixes.push_front(prefix);
     record(true, prefix);
     return false;
 }
@@ -48,7 +48,7 @@
     if (m_policy.lostEvery != 0 && m_lastSeq % m_policy.lostEvery == 0)
         return;
     m_events.push_back({m_lastSeq, isStored, prefix, std::chrono::steady_clock::now()});
-    if (m_events.size() > keptEvents)
+    if (m_events.size() > maxEvents)
         m_events.pop_front();
 }
 
--- a/tests/standins/modelserverstandin/prefixcache.h
+++ b/tests/standins/modelserverstandin/prefixcache.h
@@ -11,6 +11,7 @@
 
 namespace StandIn {
 
+/// A prefix was stored in the cache or evicted from it.
 struct CacheEvent
 {
     std::uint64_t seq = 0;
@@ -19,16 +20,19 @@
     std::chrono::steady_clock::time_point at;
 };
 
+/// Size and event report of a cache.
 struct PrefixCachePolicy
 {
+    /// Number of prefixes.
     std::size_t capacity = 64;
-    /// Age at which an event can be read.
+    /// Age from which an event can be read.
     std::chrono::milliseconds eventLag{200};
-    /// Each event whose number is a multiple of this is never told; 0 tells all.
+    /// Every event whose number is a multiple of this is lost; 0 loses none.
     std::uint64_t lostEvery = 0;
 };
 
-/// The prompt prefixes whose KV cache is kept; the least recently used one makes room.
+/// The prompt prefixes whose KV cache is kept. The least recently used prefix is evicted first.
+/// Thread-safe.
 class PrefixCache
 {
 public:
@@ -36,9 +40,9 @@
         : m_policy(policy)
     {}
 
-    /// Returns whether \a prefix was there; it is afterwards.
+    /// Returns whether \a prefix was cached. Caches it if the capacity is not 0.
     bool use(const std::string &prefix);
-    /// The events after \a seq that can be read by now.
+    /// The events after \a seq that are old enough to be read.
     std::vector<CacheEvent> eventsAfter(std::uint64_t seq) const;
 
 private:
@@ -46,7 +50,7 @@
 
     mutable std::mutex m_mutex;
     PrefixCachePolicy m_policy;
-    std::list<std::string> m_recent;
+    std::list<std::string> m_prefixes;
     std::deque<CacheEvent> m_events;
     std::uint64_t m_lastSeq = 0;
 };
