--- a/tests/standins/common/faults.h
+++ b/tests/standins/common/faults.h
@@ -9,27 +9,29 @@
 
 namespace StandIn {
 
-/// What goes wrong with the next calls, as POST /faults set it:
+/// The fault that the next calls meet. POST /faults sets it:
 /// {"mode":"...","delayMs":N,"afterEvents":N,"count":N}.
 struct FaultPlan
 {
+    /// Kind of the fault; README.md lists the modes of each stand-in. "none" is no fault.
     std::string mode = "none";
     std::chrono::milliseconds delay{0};
-    /// With the mode "cut": events that still go out.
+    /// With the mode "cut": number of events that are still sent.
     std::uint64_t afterEvents = 0;
-    /// Calls that meet the fault; 0 is all of them until the next POST.
+    /// Number of calls that meet the fault; 0 means every call until the next POST.
     std::uint64_t count = 0;
 };
 
-/// Holds the plan; safe to use from many threads.
+/// Holds the fault plan of a stand-in. Thread-safe.
 class Faults
 {
 public:
-    /// Answers POST and GET /faults.
+    /// Answers POST /faults, which replaces the plan, and GET /faults, which returns it.
     HttpResponse handle(const HttpRequest &request);
-    /// The plan for one call, which is taken off its count; "none" once the count is used up.
+    /// Returns the plan for one call and counts the call; the mode is "none" once the count is
+    /// used up.
     FaultPlan take();
-    /// The plan as it stands, nothing taken off.
+    /// Returns the plan without counting a call.
     FaultPlan peek() const;
 
 private:
