--- a/tests/standins/common/httpserver.cpp
+++ b/tests/standins/common/httpserver.cpp
@@ -34,7 +34,7 @@
     return entries;
 }
 
-std::string peerName(const sockaddr *address)
+std::string addressKey(const sockaddr *address)
 {
     if (!address || address->sa_family != AF_INET)
         return {};
@@ -42,27 +42,27 @@
     return std::to_string(in->sin_addr.s_addr) + ":" + std::to_string(in->sin_port);
 }
 
-/// What ulfius reads from while it sends a body.
+/// State of a streamed body that ulfius is sending.
 struct StreamState
 {
     std::unique_ptr<BodyStream> stream;
-    std::string rest;
+    std::string unsent;
 };
 
 ssize_t readStream(void *data, std::uint64_t, char *buf, std::size_t max)
 {
     auto *state = static_cast<StreamState *>(data);
-    if (state->rest.empty()) {
+    if (state->unsent.empty()) {
         std::optional<std::string> piece = state->stream->next();
         if (!piece)
             return U_STREAM_ERROR;
         if (piece->empty())
             return U_STREAM_END;
-        state->rest = std::move(*piece);
+        state->unsent = std::move(*piece);
     }
-    const std::size_t n = std::min(max, state->rest.size());
-    std::copy_n(state->rest.data(), n, buf);
-    state->rest.erase(0, n);
+    const std::size_t n = std::min(max, state->unsent.size());
+    std::copy_n(state->unsent.data(), n, buf);
+    state->unsent.erase(0, n);
     return static_cast<ssize_t>(n);
 }
 
@@ -110,12 +110,12 @@
     int connectionOf(const sockaddr *peer)
     {
         const std::lock_guard lock(mutex);
-        const auto it = connections.find(peerName(peer));
+        const auto it = connections.find(addressKey(peer));
         return it == connections.end() ? -1 : it->second;
     }
 
-    static void noteConnection(void *cls, MHD_Connection *connection, void **,
-                               MHD_ConnectionNotificationCode code)
+    static void trackConnection(void *cls, MHD_Connection *connection, void **,
+                                MHD_ConnectionNotificationCode code)
     {
         auto *self = static_cast<Private *>(cls);
         const MHD_ConnectionInfo *peer =
@@ -126,41 +126,41 @@
             return;
         const std::lock_guard lock(self->mutex);
         if (code == MHD_CONNECTION_NOTIFY_STARTED)
-            self->connections[peerName(peer->client_addr)] = fd->connect_fd;
+            self->connections[addressKey(peer->client_addr)] = fd->connect_fd;
         else
-            self->connections.erase(peerName(peer->client_addr));
+            self->connections.erase(addressKey(peer->client_addr));
     }
 
-    static int answer(const _u_request *asked, _u_response *response, void *cls)
+    static int answer(const _u_request *ulfiusRequest, _u_response *response, void *cls)
     {
         auto *self = static_cast<Private *>(cls);
         HttpRequest request;
-        request.method = asked->http_verb;
-        request.path = asked->http_url;
+        request.method = ulfiusRequest->http_verb;
+        request.path = ulfiusRequest->http_url;
         request.path.erase(std::min(request.path.find('?'), request.path.size()));
-        request.body.assign(static_cast<const char *>(asked->binary_body),
-                            asked->binary_body_length);
-        for (auto &[key, value] : entriesOf(asked->map_header))
+        request.body.assign(static_cast<const char *>(ulfiusRequest->binary_body),
+                            ulfiusRequest->binary_body_length);
+        for (auto &[key, value] : entriesOf(ulfiusRequest->map_header))
             request.headers[lowerCase(key)] = value;
-        request.queries = entriesOf(asked->map_url);
-        request.connection = self->connectionOf(asked->client_address);
+        request.queries = entriesOf(ulfiusRequest->map_url);
+        request.connection = self->connectionOf(ulfiusRequest->client_address);
 
-        HttpResponse answered = self->handler(request);
-        if (answered.isCut && request.connection >= 0)
+        HttpResponse result = self->handler(request);
+        if (result.isCut && request.connection >= 0)
             shutdown(request.connection, SHUT_RDWR);
-        for (const auto &[key, value] : answered.headers)
+        for (const auto &[key, value] : result.headers)
             u_map_put(response->map_header, key.c_str(), value.c_str());
-        const auto status = static_cast<unsigned int>(answered.status);
-        if (answered.stream) {
-            auto *state = new StreamState{std::move(answered.stream), {}};
+        const auto status = static_cast<unsigned int>(result.status);
+        if (result.stream) {
+            auto *state = new StreamState{std::move(result.stream), {}};
             ulfius_set_stream_response(response, status, readStream, freeStream,
                                        U_STREAM_SIZE_UNKNOWN, streamBlockBytes, state);
             return U_CALLBACK_COMPLETE;
         }
-        response->status = answered.status;
-        if (!answered.body.empty())
-            ulfius_set_binary_body_response(response, status, answered.body.data(),
-                                            answered.body.size());
+        response->status = result.status;
+        if (!result.body.empty())
+            ulfius_set_binary_body_response(response, status, result.body.data(),
+                                            result.body.size());
         return U_CALLBACK_COMPLETE;
     }
 };
@@ -194,11 +194,12 @@
     data->instance.allowed_post_processor = U_POST_PROCESS_NONE;
     ulfius_set_default_endpoint(&data->instance, &Private::answer, data.get());
 
-    // ulfius's own start waits with select() and loses connections past file number 1,024.
+    // The default start of ulfius uses select(), which loses connections whose file descriptor is
+    // 1,024 or higher.
     MHD_OptionItem options[] = {
         {MHD_OPTION_NOTIFY_COMPLETED, reinterpret_cast<intptr_t>(mhd_request_completed), nullptr},
         {MHD_OPTION_URI_LOG_CALLBACK, reinterpret_cast<intptr_t>(ulfius_uri_logger), nullptr},
-        {MHD_OPTION_NOTIFY_CONNECTION, reinterpret_cast<intptr_t>(&Private::noteConnection),
+        {MHD_OPTION_NOTIFY_CONNECTION, reinterpret_cast<intptr_t>(&Private::trackConnection),
          data.get()},
         {MHD_OPTION_SOCK_ADDR, 0, &data->address},
         {MHD_OPTION_THREAD_STACK_SIZE, threadStackBytes, nullptr},
