--- a/tests/standins/common/options.cpp
+++ b/tests/standins/common/options.cpp
@@ -27,7 +27,8 @@
     std::ifstream in(file);
     const Json json = Json::parse(in, nullptr, false, true);
     if (!json.is_object())
-        return boost::leaf::new_error(WrongUsage{file + ": no JSON object"});
+        return boost::leaf::new_error(
+            WrongUsage{file + ": not a readable file with a JSON object"});
     Values values;
     for (const auto &[key, value] : json.items()) {
         if (known.count(key) == 0)
@@ -49,8 +50,8 @@
 
 Base::Result<Options> Options::parse(int argc, char **argv, std::vector<OptionSpec> specs)
 {
-    specs.push_back({"address", "127.0.0.1:0", "IP:PORT to listen on"});
-    specs.push_back({"settings", "", "JSON file with these options as keys"});
+    specs.push_back({"address", "127.0.0.1:0", "address to listen on, IP:PORT"});
+    specs.push_back({"settings", "", "JSON file that has these options as keys"});
     Options options;
     std::vector<option> longOptions;
     for (const OptionSpec &spec : specs) {
@@ -69,7 +70,8 @@
         given[specs[static_cast<std::size_t>(index)].name] = optarg;
     }
     if (optind != argc)
-        return boost::leaf::new_error(WrongUsage{std::string("unexpected ") + argv[optind]});
+        return boost::leaf::new_error(
+            WrongUsage{std::string("unexpected argument: ") + argv[optind]});
     if (given.count("settings") > 0) {
         BOOST_LEAF_AUTO(settings, readSettings(given["settings"], options.m_values));
         for (const auto &[key, value] : settings)
--- a/tests/standins/common/options.h
+++ b/tests/standins/common/options.h
@@ -10,7 +10,8 @@
 
 namespace StandIn {
 
-/// One option: "--name VALUE" on the command line, or the key "name" of the settings file.
+/// One option of a stand-in: "--name VALUE" on the command line, or the key "name" in the settings
+/// file.
 struct OptionSpec
 {
     std::string name;
@@ -18,23 +19,26 @@
     std::string help;
 };
 
-/// The command line or the settings file is wrong; \a text says where.
+/// Error: the command line or the settings file is wrong. \a text describes the fault.
 struct WrongUsage
 {
     std::string text;
 };
 
-/// The values a stand-in is started with. The command line goes before the settings file.
+/// Option values of a stand-in. The command line takes precedence over the settings file.
 class Options
 {
 public:
     /// Adds --address, --settings and --help to \a specs. Fails with WrongUsage.
     static Base::Result<Options> parse(int argc, char **argv, std::vector<OptionSpec> specs);
 
+    /// Value of the option \a name, which must be one of the specified options.
     std::string text(const std::string &name) const { return m_values.at(name); }
-    /// 0 if the value is no number.
+    /// Value as an integer; 0 if it is not a number.
     std::int64_t number(const std::string &name) const;
+    /// Value as a floating-point number; 0 if it is not a number.
     double decimal(const std::string &name) const;
+    /// Whether the value is "true".
     bool isSet(const std::string &name) const { return m_values.at(name) == "true"; }
     std::chrono::milliseconds milliseconds(const std::string &name) const
     {
