--- a/tests/standins/common/program.cpp
+++ b/tests/standins/common/program.cpp
@@ -32,7 +32,7 @@
     std::fflush(stdout);
     int received = 0;
     sigwait(&signals, &received);
-    // Handlers may be waiting; a stand-in has nothing to save.
+    // Exits without cleanup: handlers may block, and a stand-in has no state to save.
     std::_Exit(0);
 }
 
--- a/tests/standins/common/program.h
+++ b/tests/standins/common/program.h
@@ -12,14 +12,16 @@
 
 namespace StandIn {
 
+/// An answer with \a json as its body.
 HttpResponse jsonResponse(int status, const nlohmann::json &json);
+/// An answer with the body {"error":\a message}.
 HttpResponse errorResponse(int status, const std::string &message);
-/// Empty if \a key is missing or no string.
+/// Value of \a key; empty if it is missing or not a string.
 std::string textOf(const nlohmann::json &json, const char *key);
-/// 0 if \a key is missing or no whole number from 0 on.
+/// Value of \a key; 0 if it is missing or not a non-negative integer.
 std::uint64_t numberOf(const nlohmann::json &json, const char *key);
 
-/// A stand-in: answers requests until the process ends.
+/// The requests that one kind of stand-in answers. handle() is called from several threads at once.
 class Service
 {
 public:
@@ -27,10 +29,11 @@
     virtual HttpResponse handle(const HttpRequest &request) = 0;
 };
 
+/// Creates the service of a stand-in from its options. Fails with WrongUsage or another error.
 using ServiceFactory = std::function<Base::Result<std::unique_ptr<Service>>(const Options &)>;
 
-/// The main function of every stand-in: prints "ready" once it listens, ends at SIGTERM.
-/// Returns the exit code: 0 good, 1 failed, 2 usage.
+/// The main function of every stand-in. Prints "ready" once it listens, and exits on SIGTERM or
+/// SIGINT. Returns the exit status: 0 on success, 1 on failure, 2 on wrong usage.
 int runProgram(int argc, char **argv, std::vector<OptionSpec> specs, const ServiceFactory &factory);
 
 } // namespace StandIn
