--- a/tests/standins/deployedserverstandin/deployedservice.cpp
+++ b/tests/standins/deployedserverstandin/deployedservice.cpp
@@ -12,7 +12,8 @@
 
 constexpr std::chrono::milliseconds hangupCheckInterval(20);
 
-/// Events "id: N\ndata: <path> N\n\n", with a pause before each.
+/// Sends the events "id: N\ndata: <path> N\n\n" with a pause before each. With a cut, the
+/// connection closes in the middle of the event after \a cutAfter events.
 class EventStream final : public BodyStream
 {
 public:
@@ -34,7 +35,7 @@
         std::this_thread::sleep_for(m_pause);
         const std::string id = std::to_string(m_next);
         std::string event = "id: " + id + "\ndata: " + m_path + " " + id + "\n\n";
-        // The last event before a crash comes out as a half.
+        // A server that crashes leaves half of an event behind.
         if (m_cutAfter && m_sent == *m_cutAfter)
             event.resize(event.size() / 2);
         ++m_next;
@@ -55,10 +56,11 @@
 
 std::vector<OptionSpec> DeployedService::optionSpecs()
 {
-    return {{"id", "i-1", "id of this start of the server"},
-            {"work-ms", "5", "time of one plain call, and before each event"},
-            {"events", "8", "events of a stream"},
-            {"print-runs", "false", "print a line for each request that begins to run"}};
+    return {
+        {"id", "i-1", "instance id of the server, new at each start"},
+        {"work-ms", "5", "run time of a plain call and pause before each event, in milliseconds"},
+        {"events", "8", "number of events in a stream"},
+        {"print-runs", "false", "print a line for each request that begins to run"}};
 }
 
 Base::Result<std::unique_ptr<Service>> DeployedService::create(const Options &options)
@@ -70,7 +72,7 @@
     : m_id(options.text("id"))
     , m_workTime(options.milliseconds("work-ms"))
     , m_events(static_cast<std::uint64_t>(options.number("events")))
-    , m_isPrinting(options.isSet("print-runs"))
+    , m_isPrintingRuns(options.isSet("print-runs"))
 {}
 
 HttpResponse DeployedService::handle(const HttpRequest &request)
@@ -91,7 +93,7 @@
 
 std::size_t DeployedService::begin(const HttpRequest &request)
 {
-    if (m_isPrinting) {
+    if (m_isPrintingRuns) {
         std::printf("run %s %s\n", request.header("Attempt-Id").c_str(), m_id.c_str());
         std::fflush(stdout);
     }
--- a/tests/standins/deployedserverstandin/deployedservice.h
+++ b/tests/standins/deployedserverstandin/deployedservice.h
@@ -12,8 +12,9 @@
 
 namespace StandIn {
 
-/// A backend server as the users' hosts have them: a model server for requests with a prompt, a
-/// plain application for all others. Events of a stream follow from the request's path alone.
+/// A backend server as a deployment of the gateway has it: a model server for requests with the
+/// header Token-Count, an application server for all others. The events of a stream depend on the
+/// request's path only.
 class DeployedService final : public Service
 {
 public:
@@ -24,17 +25,19 @@
 
 private:
     explicit DeployedService(const Options &options);
-    /// Writes down that the request runs.
+    /// Records in the journal that the request runs; returns its entry.
     std::size_t begin(const HttpRequest &request);
+    /// An answer that says that the request has not run.
     HttpResponse notRun(const HttpRequest &request, int status) const;
     HttpResponse plain(const HttpRequest &request, const FaultPlan &fault);
     HttpResponse stream(const HttpRequest &request, const FaultPlan &fault);
+    /// Adds the headers that prove which request and which server the answer belongs to.
     void sign(const HttpRequest &request, HttpResponse &response) const;
 
     std::string m_id;
     std::chrono::milliseconds m_workTime;
     std::uint64_t m_events;
-    bool m_isPrinting;
+    bool m_isPrintingRuns;
     Faults m_faults;
     Journal m_journal;
 };
