--- a/tests/standins/platformstandin/hostboard.cpp
+++ b/tests/standins/platformstandin/hostboard.cpp
@@ -11,7 +11,7 @@
 void HostBoard::set(const Json &hosts)
 {
     const std::lock_guard lock(m_mutex);
-    post(hosts);
+    publish(hosts);
 }
 
 void HostBoard::setLag(std::chrono::milliseconds lag)
@@ -23,9 +23,9 @@
 bool HostBoard::setState(const std::string &name, const std::string &state)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_posted.empty())
+    if (m_snapshots.empty())
         return false;
-    Json hosts = m_posted.back().hosts;
+    Json hosts = m_snapshots.back().hosts;
     bool isFound = false;
     for (Json &host : hosts) {
         if (textOf(host, "name") != name)
@@ -34,28 +34,28 @@
         isFound = true;
     }
     if (isFound)
-        post(std::move(hosts));
+        publish(std::move(hosts));
     return isFound;
 }
 
 Json HostBoard::listing() const
 {
     const std::lock_guard lock(m_mutex);
-    const Clock::time_point seenUntil = Clock::now() - m_lag;
-    Posted shown;
-    for (const Posted &it : m_posted) {
-        if (it.at <= seenUntil)
-            shown = it;
+    const Clock::time_point visibleUntil = Clock::now() - m_lag;
+    Snapshot visible;
+    for (const Snapshot &it : m_snapshots) {
+        if (it.at <= visibleUntil)
+            visible = it;
     }
-    return {{"version", shown.version}, {"hosts", shown.hosts}};
+    return {{"version", visible.version}, {"hosts", visible.hosts}};
 }
 
-void HostBoard::post(Json hosts)
+void HostBoard::publish(Json hosts)
 {
-    const std::uint64_t version = m_posted.empty() ? 1 : m_posted.back().version + 1;
-    // The first list is seen at once, so that a fleet can start.
-    const Clock::time_point at = m_posted.empty() ? Clock::time_point::min() : Clock::now();
-    m_posted.push_back({at, version, std::move(hosts)});
+    const std::uint64_t version = m_snapshots.empty() ? 1 : m_snapshots.back().version + 1;
+    // The first list is visible without a lag, so that a fleet can start.
+    const Clock::time_point at = m_snapshots.empty() ? Clock::time_point::min() : Clock::now();
+    m_snapshots.push_back({at, version, std::move(hosts)});
 }
 
 } // namespace StandIn
