--- a/tests/standins/platformstandin/seed.h
+++ b/tests/standins/platformstandin/seed.h
@@ -8,15 +8,16 @@
 
 namespace StandIn {
 
-/// The seed file is not what examples/ show; \a text says how.
+/// Error: the seed file is malformed. \a text describes the fault; examples/ has valid files.
 struct WrongSeed
 {
     std::string text;
 };
 
-/// Fills \a table with the first configuration and \a hosts with the first list, from the JSON
+/// Fills \a table with the initial configuration and \a hosts with the initial list, from the JSON
 /// \a file: {"classes":[{"class","startWithinMs","claim"}],
-/// "customers":[{"customer","key"}],"hosts":[...]}. Of a key only its SHA-256 is kept.
+/// "customers":[{"customer","key"}],"hosts":[...]}. Only the SHA-256 digest of a key is stored.
+/// Fails with WrongSeed.
 Base::Result<void> readSeed(const std::string &file, Table &table, HostBoard &hosts);
 
 } // namespace StandIn
--- a/tests/standins/platformstandin/table.cpp
+++ b/tests/standins/platformstandin/table.cpp
@@ -21,8 +21,8 @@
 {
     const std::lock_guard lock(m_mutex);
     std::vector<TableRow> found;
-    const bool isAfterInside = after >= prefix;
-    auto it = isAfterInside ? m_rows.upper_bound(after) : m_rows.lower_bound(prefix);
+    const bool isResumed = after >= prefix;
+    auto it = isResumed ? m_rows.upper_bound(after) : m_rows.lower_bound(prefix);
     for (; it != m_rows.end() && found.size() < limit; ++it) {
         if (it->first.rfind(prefix, 0) != 0)
             break;
@@ -34,9 +34,9 @@
 std::optional<std::vector<TableRow>> Table::transact(const std::vector<TableWrite> &writes)
 {
     const std::lock_guard lock(m_mutex);
-    const bool isAllMatching = std::all_of(writes.begin(), writes.end(),
-                                           [this](const TableWrite &it) { return isMatching(it); });
-    if (!isAllMatching)
+    const bool areAllMatching = std::all_of(
+        writes.begin(), writes.end(), [this](const TableWrite &it) { return matchesVersion(it); });
+    if (!areAllMatching)
         return std::nullopt;
     std::vector<TableRow> written;
     for (const TableWrite &write : writes) {
@@ -51,7 +51,7 @@
     return written;
 }
 
-bool Table::isMatching(const TableWrite &write) const
+bool Table::matchesVersion(const TableWrite &write) const
 {
     if (!write.expected)
         return true;
--- a/tests/standins/platformstandin/weightstore.h
+++ b/tests/standins/platformstandin/weightstore.h
@@ -6,16 +6,16 @@
 
 namespace StandIn {
 
-/// Lets through a limited number of fetches of model weights in each second.
+/// Limits the rate at which model weights are fetched. Thread-safe.
 class WeightStore
 {
 public:
-    /// \a rate is in fetches a second and above 0.
+    /// \a rate is in fetches per second and greater than 0.
     explicit WeightStore(double rate)
         : m_rate(rate)
     {}
 
-    /// Nothing if the fetch may go on; else the time to wait before the next try.
+    /// Returns std::nullopt if a fetch is allowed now, otherwise the time to wait before a retry.
     std::optional<std::chrono::milliseconds> fetch();
 
 private:
