--- a/tests/standins/platformstandin/platformservice.cpp
+++ b/tests/standins/platformstandin/platformservice.cpp
@@ -11,9 +11,9 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t largestScan = 1000;
+constexpr std::size_t maxScanRows = 1000;
 
-bool isBelow(const std::string &path, const std::string &prefix)
+bool startsWith(const std::string &path, const std::string &prefix)
 {
     return path.rfind(prefix, 0) == 0;
 }
@@ -50,9 +50,9 @@
 
 std::vector<OptionSpec> PlatformService::optionSpecs()
 {
-    return {{"seed", "", "JSON file with the first configuration and host list"},
-            {"host-lag-ms", "0", "age of the host list that readers see"},
-            {"weights-per-second", "1", "fetches of model weights let through"}};
+    return {{"seed", "", "JSON file with the initial configuration and host list"},
+            {"host-lag-ms", "0", "age of the host list that readers see, in milliseconds"},
+            {"weights-per-second", "1", "fetches of model weights allowed per second"}};
 }
 
 Base::Result<std::unique_ptr<Service>> PlatformService::create(const Options &options)
@@ -78,15 +78,15 @@
         return m_faults.handle(request);
     if (request.path == "/counts")
         return counts();
-    if (request.path == "/hosts" || isBelow(request.path, "/hosts/"))
+    if (request.path == "/hosts" || startsWith(request.path, "/hosts/"))
         return hosts(request);
     if (request.path == "/table/transact")
         return withFaults(request, &PlatformService::transact);
-    if (isBelow(request.path, "/table/"))
+    if (startsWith(request.path, "/table/"))
         return withFaults(request, &PlatformService::table);
-    if (isBelow(request.path, "/objects/"))
+    if (startsWith(request.path, "/objects/"))
         return withFaults(request, &PlatformService::object);
-    if (isBelow(request.path, "/weights/"))
+    if (startsWith(request.path, "/weights/"))
         return withFaults(request, &PlatformService::weights);
     return errorResponse(404, "no such call");
 }
@@ -120,10 +120,10 @@
     if (request.path != "/table/rows")
         return errorResponse(404, "no such call");
     const std::string text = request.query("limit");
-    std::size_t limit = largestScan;
+    std::size_t limit = maxScanRows;
     std::from_chars(text.data(), text.data() + text.size(), limit);
     return rowsResponse(m_table.rows(request.query("prefix"), request.query("after"),
-                                     std::min(limit, largestScan)));
+                                     std::min(limit, maxScanRows)));
 }
 
 HttpResponse PlatformService::transact(const HttpRequest &request)
--- a/tests/standins/platformstandin/platformservice.h
+++ b/tests/standins/platformstandin/platformservice.h
@@ -15,7 +15,8 @@
 
 namespace StandIn {
 
-/// The platform as docs/PROTOCOLS.md describes it, all in memory.
+/// The platform with its table, objects, host list and model weights, all in memory;
+/// docs/PROTOCOLS.md describes its protocol.
 class PlatformService final : public Service
 {
 public:
@@ -27,7 +28,7 @@
 private:
     explicit PlatformService(const Options &options);
 
-    /// Counts the call and lets the fault plan act on it.
+    /// Counts the request and answers it with \a call, or with the fault that the plan names.
     HttpResponse withFaults(const HttpRequest &request,
                             HttpResponse (PlatformService::*call)(const HttpRequest &));
     HttpResponse table(const HttpRequest &request);
