--- a/tests/standins/rowstorestandin/rowstore.cpp
+++ b/tests/standins/rowstorestandin/rowstore.cpp
@@ -20,8 +20,8 @@
                                          std::chrono::milliseconds wait) const
 {
     std::unique_lock lock(m_mutex);
-    m_isChanged.wait_for(lock, wait, [&] { return !changed(table, version).empty(); });
-    return changed(table, version);
+    m_changed.wait_for(lock, wait, [&] { return !changedRows(table, version).empty(); });
+    return changedRows(table, version);
 }
 
 bool RowStore::apply(const std::vector<ExpectedRow> &expected,
@@ -30,8 +30,8 @@
     const std::lock_guard lock(m_mutex);
     for (const ExpectedRow &it : expected) {
         const auto row = m_rows.find(it.name);
-        const bool isThere = row != m_rows.end() && !row->second.isRemoved;
-        if ((isThere ? row->second.version : 0) != it.version)
+        const bool isPresent = row != m_rows.end() && !row->second.isRemoved;
+        if ((isPresent ? row->second.version : 0) != it.version)
             return false;
     }
     ++m_version;
@@ -39,7 +39,7 @@
         m_rows[it.name] = {it.name.table,         it.name.part, it.name.key,
                            it.value.value_or(""), m_version,    !it.value};
     }
-    m_isChanged.notify_all();
+    m_changed.notify_all();
     return true;
 }
 
@@ -49,7 +49,7 @@
     return m_version;
 }
 
-std::vector<StoredRow> RowStore::changed(const std::string &table, std::uint64_t version) const
+std::vector<StoredRow> RowStore::changedRows(const std::string &table, std::uint64_t version) const
 {
     std::vector<StoredRow> found;
     for (const auto &[name, row] : m_rows) {
