--- a/tests/standins/rowstorestandin/rowstoreservice.cpp
+++ b/tests/standins/rowstorestandin/rowstoreservice.cpp
@@ -76,7 +76,7 @@
         return put(request);
     ++m_calls;
     const FaultPlan fault = m_faults.take();
-    if (std::optional<HttpResponse> answer = faulty(request, fault))
+    if (std::optional<HttpResponse> answer = faultResponse(request, fault))
         return std::move(*answer);
     HttpResponse response = errorResponse(404, "no such call");
     if (request.path == "/-/rows-get")
@@ -89,8 +89,8 @@
     return response;
 }
 
-std::optional<HttpResponse> RowStoreService::faulty(const HttpRequest &request,
-                                                    const FaultPlan &fault) const
+std::optional<HttpResponse> RowStoreService::faultResponse(const HttpRequest &request,
+                                                           const FaultPlan &fault) const
 {
     if (fault.mode == "down")
         return errorResponse(503, "down");
--- a/tests/standins/rowstorestandin/rowstoreservice.h
+++ b/tests/standins/rowstorestandin/rowstoreservice.h
@@ -10,7 +10,8 @@
 
 namespace StandIn {
 
-/// The store of rows that the users' hosts are given, in memory.
+/// The store of rows that a deployment of the gateway reads its configuration and its servers from,
+/// in memory.
 class RowStoreService final : public Service
 {
 public:
@@ -20,13 +21,14 @@
     HttpResponse handle(const HttpRequest &request) override;
 
 private:
-    /// The answer that a fault gives in the call's place; empty if there is none.
-    std::optional<HttpResponse> faulty(const HttpRequest &request, const FaultPlan &fault) const;
+    /// The answer that a fault gives instead of the call's own; std::nullopt if the call goes on.
+    std::optional<HttpResponse> faultResponse(const HttpRequest &request,
+                                              const FaultPlan &fault) const;
     HttpResponse rows(const HttpRequest &request) const;
     HttpResponse feed(const HttpRequest &request) const;
     HttpResponse transact(const HttpRequest &request);
-    /// A row written by the operator or by a server: {"table","key","value"}, the value as JSON,
-    /// or null to remove it.
+    /// Writes a row as an operator or a backend server does. The body is
+    /// {"table","part","key","value"}; the value is any JSON, and null removes the row.
     HttpResponse put(const HttpRequest &request);
 
     RowStore m_store;
