--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -42,8 +42,8 @@
     fleet_until "$name" grep -qx ready "$FLEET_DIR/$name.out"
 }
 
-# fleet_sees ADDRESS COUNT: whether that router takes work and knows COUNT live routers.
-fleet_sees() {
+# fleet_is_ready ADDRESS COUNT: whether that router takes work and knows COUNT live routers.
+fleet_is_ready() {
     curl -sf -o "$FLEET_DIR/readyz" "http://$1/readyz" \
         && [ "$(curl -sf "http://$1/v1/status" | jq .liveRouters)" = "$2" ]
 }
@@ -73,7 +73,7 @@
             --settings "$FLEET_DIR/entry-$i.json"
     done
     for i in 1 2 3; do
-        fleet_until "entry-$i" fleet_sees "$FLEET_IP:1871$i" 3
+        fleet_until "entry-$i" fleet_is_ready "$FLEET_IP:1871$i" 3
         fleet_until "an answer of entry-$i" fleet_answers "$FLEET_IP:1871$i"
     done
 }
@@ -87,8 +87,8 @@
         | join(" > ")'
 }
 
-# fleet_end PID...: SIGTERM to each, and waits for all; fails if one did not exit with 0.
-fleet_end() {
+# fleet_terminate PID...: SIGTERM to each, and waits for all; fails if one did not exit with 0.
+fleet_terminate() {
     local pid status=0
     for pid in "$@"; do
         kill "$pid" || status=1
@@ -102,14 +102,14 @@
 # fleet_stop: ends the routers and then the stand-ins, which were started first.
 fleet_stop() {
     local status=0
-    fleet_end "${FLEET_PIDS[@]:FLEET_STANDINS}" || status=1
-    fleet_end "${FLEET_PIDS[@]:0:FLEET_STANDINS}" || status=1
+    fleet_terminate "${FLEET_PIDS[@]:FLEET_STANDINS}" || status=1
+    fleet_terminate "${FLEET_PIDS[@]:0:FLEET_STANDINS}" || status=1
     FLEET_PIDS=()
     return $status
 }
 
-# fleet_clean: for a trap; ends by id what is still there and removes this run's files.
-fleet_clean() {
+# fleet_cleanup: for a trap; ends by id what is still there and removes this run's files.
+fleet_cleanup() {
     local pid
     for pid in "${FLEET_PIDS[@]}"; do
         kill -KILL "$pid" 2>/dev/null || true
--- a/scripts/measuregateway.sh
+++ b/scripts/measuregateway.sh
@@ -35,7 +35,7 @@
     gateway_start $i
 done
 for i in 1 2 3; do
-    fleet_until "all gateways at $i" lists "$i" 3
+    fleet_until "all gateways at $i" lists_gateways "$i" 3
 done
 load "idle, three gateways" --callers 0
 load "plain requests, 40 callers" --callers 40 --path /read/x
--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -7,7 +7,7 @@
 scripts/install.sh
 scripts/build.sh
 . scripts/fleet.sh
-trap fleet_clean EXIT
+trap fleet_cleanup EXIT
 
 failures=0
 
--- a/tests/golden/failures.sh
+++ b/tests/golden/failures.sh
@@ -6,7 +6,7 @@
 cd "$(dirname "$0")/../.."
 FLEET_BUILD=$1
 . scripts/fleet.sh
-trap fleet_clean EXIT
+trap fleet_cleanup EXIT
 
 headers=(-H 'Authorization: Bearer example-key-dealer' -H 'X-Lagoonmast-Class: buyer-replies'
     -H 'Content-Type: application/json')
--- a/tests/golden/session.sh
+++ b/tests/golden/session.sh
@@ -7,7 +7,7 @@
 cd "$(dirname "$0")/../.."
 FLEET_BUILD=$1
 . scripts/fleet.sh
-trap fleet_clean EXIT
+trap fleet_cleanup EXIT
 
 normalise() {
     tr -d '\r' | sed -E "s/${FLEET_IP//./\\.}/127.0.0.1/g" | sed -E '
--- a/tests/processes/common.sh
+++ b/tests/processes/common.sh
@@ -6,14 +6,14 @@
 dealer=(-H 'Authorization: Bearer example-key-dealer' -H 'X-Lagoonmast-Class: buyer-replies'
     -H 'Content-Type: application/json')
 
-processes_clean() {
+processes_cleanup() {
     local pid
     for pid in "${CALLERS[@]}"; do
         kill "$pid" 2>/dev/null || true
     done
-    fleet_clean
+    fleet_cleanup
 }
-trap processes_clean EXIT
+trap processes_cleanup EXIT
 
 # router_pid ENTRY: the process id of entry-ENTRY, after fleet_up.
 router_pid() {
@@ -25,8 +25,8 @@
     curl -sf -o "$FLEET_DIR/fault" "http://$FLEET_IP:$1/faults" -d "$2" || fleet_fail "fault $*"
 }
 
-# stream_begin NAME ENTRY TOKENS: a streamed answer in the background, into NAME.sse.
-stream_begin() {
+# start_stream NAME ENTRY TOKENS: a streamed answer in the background, into NAME.sse.
+start_stream() {
     curl -sN --max-time 90 -o "$FLEET_DIR/$1.sse" "http://$FLEET_IP:1871$2/v1/chat/completions" \
         "${dealer[@]}" -d '{"model":"condition-writer","stream":true,"max_tokens":'"$3"',
             "messages":[{"role":"user","content":"Is car '"$1"' sold?"}]}' &
@@ -39,18 +39,18 @@
         | { grep -c '"content":"w' || true; }
 }
 
-has_begun() {
+has_token() {
     [ "$(stream_tokens "$1")" -gt 0 ]
 }
 
-has_done() {
+has_end() {
     grep -qx 'data: \[DONE\]' <(tr -d '\r' <"$FLEET_DIR/$1.sse")
 }
 
-# stream_whole NAME TOKENS: every token once, in order, of one answer, and [DONE] last.
-stream_whole() {
+# check_stream NAME TOKENS: every token once, in order, of one answer, and [DONE] last.
+check_stream() {
     local text
-    has_done "$1" || fleet_fail "stream $1 ended after $(stream_tokens "$1") tokens without [DONE]"
+    has_end "$1" || fleet_fail "stream $1 ended after $(stream_tokens "$1") tokens without [DONE]"
     text=$(tr -d '\r' <"$FLEET_DIR/$1.sse" | sed -n 's/^data: //p' | grep -vx '\[DONE\]' \
         | jq -rs '[.[].choices[0].delta.content // ""] | join("")')
     awk -v count="$2" '{ n = NF; split($1, first, "-")
@@ -58,8 +58,8 @@
         END { exit n == count ? 0 : 1 }' <<<"$text" || fleet_fail "stream $1 is not whole: $text"
 }
 
-# lists_no_entry ROUTER ENTRY: whether ROUTER's list of entry hosts is there, without ENTRY.
-lists_no_entry() {
+# lists_without ROUTER ENTRY: whether ROUTER's list of entry hosts is there, without ENTRY.
+lists_without() {
     curl -sf "http://$FLEET_IP:1871$1/v1/entry-hosts" \
         | jq -e --arg it "$FLEET_IP:1871$2" 'all(.hosts[]; .address != $it)' >/dev/null
 }
--- a/tests/processes/deployment.sh
+++ b/tests/processes/deployment.sh
@@ -2,7 +2,7 @@
 # servers and two gateways on this run's own loopback address. Nothing here judges how long
 # anything took.
 . scripts/fleet.sh
-trap fleet_clean EXIT
+trap fleet_cleanup EXIT
 
 STORE=19700
 GATEWAYS=()
@@ -61,8 +61,8 @@
     curl -sf -o "$FLEET_DIR/ready" "http://$FLEET_IP:1973$1/-/readyz"
 }
 
-# lists N COUNT: whether gateway N names that many gateways to callers.
-lists() {
+# lists_gateways N COUNT: whether gateway N names that many gateways to callers.
+lists_gateways() {
     [ "$(curl -sf "http://$FLEET_IP:1974$1/-/resolve?name=cars.example&region=r&zone=z" \
         | jq '.addresses | length')" = "$2" ]
 }
@@ -100,8 +100,8 @@
     done | jq -s --arg path "$1" '[.[].requests[] | select(.path == $path)] | length'
 }
 
-# whole_stream COUNT PATH: the body is every event once, in order.
-whole_stream() {
+# is_whole_stream COUNT PATH: the body is every event once, in order.
+is_whole_stream() {
     local expected
     expected=$(for i in $(seq 1 "$1"); do printf 'id: %s\ndata: %s %s\n\n' "$i" "$2" "$i"; done)
     [ "$(cat "$FLEET_DIR/body")" = "$expected" ]
@@ -121,6 +121,6 @@
     gateway_start 2
     for i in 1 2; do
         fleet_until "gateway-$i" is_ready "$i"
-        fleet_until "both gateways at $i" lists "$i" 2
+        fleet_until "both gateways at $i" lists_gateways "$i" 2
     done
 }
--- a/tests/processes/gatewayserverfails.sh
+++ b/tests/processes/gatewayserverfails.sh
@@ -15,7 +15,7 @@
     fault $port '{"mode":"cut","afterEvents":3,"count":1}'
 done
 expect "a stream whose server crashed" "$(call 1 /stream/a "${prompt[@]}")" 200
-whole_stream 8 /stream/a || fleet_fail "not whole: $(cat "$FLEET_DIR/body")"
+is_whole_stream 8 /stream/a || fleet_fail "not whole: $(cat "$FLEET_DIR/body")"
 [ "$(runs_of /stream/a)" -ge 2 ] || fleet_fail "nothing was cut"
 for port in 19711 19712; do
     fault $port '{"mode":"none"}'
--- a/tests/processes/gatewayshutdown.sh
+++ b/tests/processes/gatewayshutdown.sh
@@ -19,12 +19,12 @@
 kill "${GATEWAYS[1]}"
 not_ready() { ! is_ready 1; }
 fleet_until "not ready" not_ready
-fleet_until "out of the list" lists 2 1
+fleet_until "out of the list" lists_gateways 2 1
 expect "a caller that still comes" "$(call 1 /read/late)" 200
 grep -qi '^Connection: close' "$FLEET_DIR/head" || fleet_fail "the connection is not ended"
 wait $caller || fleet_fail "the stream was cut"
 cp "$FLEET_DIR/stream" "$FLEET_DIR/body"
-whole_stream 8 /stream/long || fleet_fail "not whole: $(cat "$FLEET_DIR/body")"
+is_whole_stream 8 /stream/long || fleet_fail "not whole: $(cat "$FLEET_DIR/body")"
 wait "${GATEWAYS[1]}" || fleet_fail "exit status $?"
 FLEET_PIDS=("${FLEET_PIDS[@]:0:FLEET_STANDINS}" "${GATEWAYS[2]}")
 fleet_stop || fleet_fail "a process did not end well"
--- a/tests/processes/homelost.sh
+++ b/tests/processes/homelost.sh
@@ -63,7 +63,7 @@
 if [ "$how" = STOP ]; then
     kill -CONT "$pid"
     for entry in 1 2 3; do
-        fleet_until "entry-$entry to see all" fleet_sees "$FLEET_IP:1871$entry" 3
+        fleet_until "entry-$entry to see all" fleet_is_ready "$FLEET_IP:1871$entry" 3
     done
     # What the woken router still had in hand is over once it serves a call of its own.
     [ "$(hold "$home" woken)" = 200 ] || fleet_fail "woken: $(cat "$FLEET_DIR/woken.answer")"
--- a/tests/processes/modelserverkilled.sh
+++ b/tests/processes/modelserverkilled.sh
@@ -15,10 +15,10 @@
 fault 18731 '{"mode":"slow","delayMs":50}'
 fault 18732 '{"mode":"slow","delayMs":50}'
 for ((i = 1; i <= streams; ++i)); do
-    stream_begin "read-$i" $((i % 3 + 1)) "$tokens"
+    start_stream "read-$i" $((i % 3 + 1)) "$tokens"
 done
 for ((i = 1; i <= streams; ++i)); do
-    fleet_until "the first token of read-$i" has_begun "read-$i"
+    fleet_until "the first token of read-$i" has_token "read-$i"
 done
 # The server killed is one that has streams running; what it ran is known only before.
 running_at() {
@@ -33,7 +33,7 @@
 # Says nothing before it dies, so what goes there now has got no part yet.
 fault "1873$victim" '{"mode":"frozen"}'
 for ((i = 1; i <= 4; ++i)); do
-    stream_begin "young-$i" $((i % 3 + 1)) 3
+    start_stream "young-$i" $((i % 3 + 1)) 3
 done
 has_queued() {
     curl -sf "http://$FLEET_IP:1873$victim/load" | jq -e '.queued > 0' >/dev/null
@@ -49,8 +49,8 @@
 cut=0
 for ((i = 1; i <= streams; ++i)); do
     wait "${CALLERS[i - 1]}" || true
-    if has_done "read-$i"; then
-        stream_whole "read-$i" "$tokens"
+    if has_end "read-$i"; then
+        check_stream "read-$i" "$tokens"
         whole=$((whole + 1))
         continue
     fi
@@ -68,7 +68,7 @@
 [ "$cut" = "$lost" ] || fleet_fail "$cut streams were cut; model-$victim had $lost"
 for ((i = 1; i <= 4; ++i)); do
     wait "${CALLERS[streams + i - 1]}" || fleet_fail "young-$i was cut off"
-    stream_whole "young-$i" 3
+    check_stream "young-$i" 3
 done
 for entry in 1 2 3; do
     fleet_answers "$FLEET_IP:1871$entry" \
--- a/tests/processes/platformdown.sh
+++ b/tests/processes/platformdown.sh
@@ -20,9 +20,9 @@
 for ((round = 1; round <= 10; ++round)); do
     for entry in 1 2 3; do
         name="$entry-$round"
-        stream_begin "down-$name" "$entry" 5
+        start_stream "down-$name" "$entry" 5
         wait "${CALLERS[-1]}" || fleet_fail "entry-$entry did not answer while the platform is down"
-        stream_whole "down-$name" 5
+        check_stream "down-$name" 5
         got=$(curl -s --max-time 20 -D "$FLEET_DIR/head" -o "$FLEET_DIR/refused" \
             -w '%{http_code}' "${dealer[@]}" -H 'X-Lagoonmast-Repeatable: no' \
             -H "Idempotency-Key: refused-$name" -d '{}' \
--- a/tests/processes/routerkilled.sh
+++ b/tests/processes/routerkilled.sh
@@ -17,15 +17,15 @@
 fault 18731 '{"mode":"slow","delayMs":50}'
 fault 18732 '{"mode":"slow","delayMs":50}'
 fault 18741 '{"mode":"slow","delayMs":3000,"count":1}'
-stream_begin cut 1 200
+start_stream cut 1 200
 cut_caller=${CALLERS[-1]}
-stream_begin other 2 200
+start_stream other 2 200
 other_caller=${CALLERS[-1]}
 hold 1 during >"$FLEET_DIR/during.status" &
 CALLERS+=($!)
 hold_caller=$!
-fleet_until "the first token of cut" has_begun cut
-fleet_until "the first token of other" has_begun other
+fleet_until "the first token of cut" has_token cut
+fleet_until "the first token of other" has_token other
 runs_once() {
     [ "$(runs_of "$1")" = 1 ]
 }
@@ -41,7 +41,7 @@
 status=0
 wait "$cut_caller" || status=$?
 [ "$status" != 0 ] || fleet_fail "the caller of the killed router saw a regular end"
-! has_done cut || fleet_fail "[DONE] after a cut"
+! has_end cut || fleet_fail "[DONE] after a cut"
 [ "$(stream_tokens cut)" -lt 200 ] || fleet_fail "nothing was cut"
 wait "$hold_caller" || true
 [ "$(cat "$FLEET_DIR/during.status")" = 000 ] || fleet_fail "the hold got an answer"
@@ -74,9 +74,9 @@
 [ "$(runs_of before)" = 1 ] || fleet_fail "the finished hold ran again"
 
 wait "$other_caller" || fleet_fail "the stream of entry-2 was cut off"
-stream_whole other 200
+check_stream other 200
 for entry in 2 3; do
-    fleet_until "entry-1 gone from entry-$entry" lists_no_entry "$entry" 1
+    fleet_until "entry-1 gone from entry-$entry" lists_without "$entry" 1
     fleet_answers "$FLEET_IP:1871$entry" || fleet_fail "entry-$entry doesn't serve"
     [ "$(hold "$entry" "after-$entry")" = 200 ] \
         || fleet_fail "hold at entry-$entry: $(cat "$FLEET_DIR/after-$entry.answer")"
--- a/tests/processes/serverleaving.sh
+++ b/tests/processes/serverleaving.sh
@@ -16,10 +16,10 @@
 fault 18731 '{"mode":"slow","delayMs":50}'
 fault 18732 '{"mode":"slow","delayMs":50}'
 for ((i = 1; i <= 6; ++i)); do
-    stream_begin "before-$i" $((i % 3 + 1)) 100
+    start_stream "before-$i" $((i % 3 + 1)) 100
 done
 for ((i = 1; i <= 6; ++i)); do
-    fleet_until "the first token of before-$i" has_begun "before-$i"
+    fleet_until "the first token of before-$i" has_token "before-$i"
 done
 [ "$(runs_at 18731)" -gt 0 ] || fleet_fail "model-1 had no work before"
 curl -sf -X PUT "http://$FLEET_IP:18700/hosts/model-1/state" -d '{"state":"leaving"}' \
@@ -36,16 +36,16 @@
 fleet_until "the list to be polled" has_polled
 for ((i = 1; i <= 6; ++i)); do
     wait "${CALLERS[i - 1]}" || fleet_fail "before-$i was cut off"
-    stream_whole "before-$i" 100
+    check_stream "before-$i" 100
 done
 fault 18731 '{"mode":"none"}'
 fault 18732 '{"mode":"none"}'
 old_1=$(runs_at 18731)
 old_2=$(runs_at 18732)
 for ((i = 1; i <= 30; ++i)); do
-    stream_begin "after-$i" $((i % 3 + 1)) 3
+    start_stream "after-$i" $((i % 3 + 1)) 3
     wait "${CALLERS[-1]}" || fleet_fail "after-$i was cut off"
-    stream_whole "after-$i" 3
+    check_stream "after-$i" 3
 done
 [ "$(runs_at 18731)" = "$old_1" ] || fleet_fail "model-1 got new work: $old_1, $(runs_at 18731)"
 [ "$(runs_at 18732)" = $((old_2 + 30)) ] || fleet_fail "model-2 ran $(runs_at 18732) - $old_2"
--- a/tests/processes/shutdown.sh
+++ b/tests/processes/shutdown.sh
@@ -30,10 +30,10 @@
 streaming=(1 2 3)
 [ "$load" = busy ] || streaming=(3)
 for entry in "${streaming[@]}"; do
-    stream_begin "long-$entry" "$entry" "$tokens"
+    start_stream "long-$entry" "$entry" "$tokens"
 done
 for entry in "${streaming[@]}"; do
-    fleet_until "the first token of long-$entry" has_begun "long-$entry"
+    fleet_until "the first token of long-$entry" has_token "long-$entry"
 done
 
 for pid in "${pids[@]}"; do
@@ -41,7 +41,7 @@
 done
 for entry in "${leaving[@]}"; do
     fleet_until "entry-$entry unready" is_unready "$entry"
-    fleet_until "entry-$entry gone from the list" lists_no_entry 3 "$entry"
+    fleet_until "entry-$entry gone from the list" lists_without 3 "$entry"
 done
 for pid in "${pids[@]}"; do
     kill -TERM "$pid"
@@ -53,14 +53,14 @@
 while [ "$SECONDS" -lt "$until_age" ]; do
     calls=$((calls + 1))
     for entry in "${leaving[@]}"; do
-        stream_begin "late-$entry-$calls" "$entry" 2
+        start_stream "late-$entry-$calls" "$entry" 2
         wait "${CALLERS[-1]}" || fleet_fail "entry-$entry did not serve call $calls"
-        stream_whole "late-$entry-$calls" 2
+        check_stream "late-$entry-$calls" 2
         [ "$(hold "$entry" "held-$entry-$calls")" = 200 ] \
             || fleet_fail "hold $calls: $(cat "$FLEET_DIR/held-$entry-$calls.answer")"
         [ "$(runs_of "held-$entry-$calls")" = 1 ] || fleet_fail "hold $calls did not run once"
         is_unready "$entry" || fleet_fail "entry-$entry became ready again"
-        lists_no_entry 3 "$entry" || fleet_fail "entry-$entry is listed again"
+        lists_without 3 "$entry" || fleet_fail "entry-$entry is listed again"
     done
 done
 [ "$calls" -gt 0 ] || fleet_fail "no caller with an old list"
@@ -68,7 +68,7 @@
 for i in "${!streaming[@]}"; do
     entry=${streaming[i]}
     wait "${CALLERS[i]}" || fleet_fail "the caller of long-$entry was cut off"
-    stream_whole "long-$entry" "$tokens"
+    check_stream "long-$entry" "$tokens"
 done
 for pid in "${pids[@]}"; do
     status=0
--- a/tests/soak/soak.sh
+++ b/tests/soak/soak.sh
@@ -22,14 +22,14 @@
 SERVER_BORN=()
 SERVICE=()
 
-clean() {
+cleanup() {
     local pid
     for pid in "${SERVER_PID[@]}" "${callers:-}"; do
         kill -KILL "$pid" 2>/dev/null || true
     done
-    fleet_clean
+    fleet_cleanup
 }
-trap clean EXIT
+trap cleanup EXIT
 
 # The proxy's ports are what gateways are told: 19810 before the store, 1982N before server port N.
 order() {
@@ -149,7 +149,7 @@
 for slot in 1 2; do server_start $slot pool; done
 for slot in 3 4; do server_start $slot app; done
 for i in 1 2 3; do start_gateway $i; done
-for i in 1 2 3; do fleet_until "all gateways at $i" lists $i 3; done
+for i in 1 2 3; do fleet_until "all gateways at $i" lists_gateways $i 3; done
 
 "$FLEET_BUILD/tests/soak/soakcaller" "$FLEET_IP" "$seed" 12 >"$FLEET_DIR/requests" &
 callers=$!
@@ -204,6 +204,6 @@
     exit 1
 fi
 GATEWAYS=()
-fleet_end "${FLEET_PIDS[@]:0:2}" || true
+fleet_terminate "${FLEET_PIDS[@]:0:2}" || true
 FLEET_PIDS=()
 echo "seed $seed: good"
