--- a/tests/soak/faultproxy.cpp
+++ b/tests/soak/faultproxy.cpp
@@ -20,30 +20,32 @@
 using boost::asio::ip::udp;
 
 enum class Mode {
-    Pass,
-    Delay,  ///< Bytes wait before they are passed on.
-    Silent, ///< Bytes are taken and passed on in neither direction; connections stay open.
-    OneWay, ///< Bytes to the server pass, bytes back do not.
-    Refuse, ///< Connections are reset as they come.
+    Pass,   ///< Bytes are forwarded at once.
+    Delay,  ///< Bytes are forwarded after a delay.
+    Silent, ///< Bytes of both directions are read and dropped; connections stay open.
+    OneWay, ///< Bytes to the server are forwarded; bytes to the caller are dropped.
+    Refuse, ///< New connections are reset.
 };
 
-/// What one link does now.
+/// The fault that is active on one link.
 struct Fault
 {
     Mode mode = Mode::Pass;
     std::chrono::milliseconds delay{0};
 };
 
-/// One direction of a connection, or both: copies bytes as the link's fault says.
-class Pipe : public std::enable_shared_from_this<Pipe>
+/// A caller's connection and the one to the server behind it. Forwards bytes in both directions as
+/// the link's active fault says.
+class Connection : public std::enable_shared_from_this<Connection>
 {
 public:
-    Pipe(tcp::socket from, const Fault &fault)
+    Connection(tcp::socket from, const Fault &fault)
         : m_caller(std::move(from))
         , m_server(m_caller.get_executor())
         , m_fault(&fault)
     {}
 
+    /// Connects to \a target and starts to forward; resets the caller if that fails.
     void start(const tcp::endpoint &target)
     {
         m_server.async_connect(target, [self = shared_from_this()](const auto &ec) {
@@ -51,12 +53,12 @@
                 self->reset();
                 return;
             }
-            self->copy(self->m_caller, self->m_server, self->m_there, false);
-            self->copy(self->m_server, self->m_caller, self->m_back, true);
+            self->copy(self->m_caller, self->m_server, self->m_toServer, false);
+            self->copy(self->m_server, self->m_caller, self->m_toCaller, true);
         });
     }
 
-    /// Ends both connections with a reset.
+    /// Resets both connections.
     void reset()
     {
         for (tcp::socket *socket : {&m_caller, &m_server}) {
@@ -69,38 +71,40 @@
 private:
     using Buffer = std::array<char, 8192>;
 
-    void copy(tcp::socket &from, tcp::socket &to, Buffer &buf, bool isBack)
+    void copy(tcp::socket &from, tcp::socket &to, Buffer &buf, bool isToCaller)
     {
         from.async_read_some(boost::asio::buffer(buf), [self = shared_from_this(), &from, &to, &buf,
-                                                        isBack](const auto &ec, std::size_t n) {
+                                                        isToCaller](const auto &ec, std::size_t n) {
             if (ec) {
                 self->closeBoth();
                 return;
             }
-            self->pass(from, to, buf, n, isBack);
+            self->pass(from, to, buf, n, isToCaller);
         });
     }
 
-    void pass(tcp::socket &from, tcp::socket &to, Buffer &buf, std::size_t n, bool isBack)
+    void pass(tcp::socket &from, tcp::socket &to, Buffer &buf, std::size_t n, bool isToCaller)
     {
-        const bool isLost =
-            m_fault->mode == Mode::Silent || (m_fault->mode == Mode::OneWay && isBack);
-        if (isLost) {
-            copy(from, to, buf, isBack);
+        const bool isDropped =
+            m_fault->mode == Mode::Silent || (m_fault->mode == Mode::OneWay && isToCaller);
+        if (isDropped) {
+            copy(from, to, buf, isToCaller);
             return;
         }
         auto timer = std::make_shared<boost::asio::steady_timer>(from.get_executor());
         timer->expires_after(m_fault->mode == Mode::Delay ? m_fault->delay
                                                           : std::chrono::milliseconds(0));
-        timer->async_wait([self = shared_from_this(), timer, &from, &to, &buf, n, isBack](auto) {
-            boost::asio::async_write(to, boost::asio::buffer(buf, n),
-                                     [self, &from, &to, &buf, isBack](const auto &ec, std::size_t) {
-                                         if (ec)
-                                             self->closeBoth();
-                                         else
-                                             self->copy(from, to, buf, isBack);
-                                     });
-        });
+        timer->async_wait(
+            [self = shared_from_this(), timer, &from, &to, &buf, n, isToCaller](auto) {
+                boost::asio::async_write(
+                    to, boost::asio::buffer(buf, n),
+                    [self, &from, &to, &buf, isToCaller](const auto &ec, std::size_t) {
+                        if (ec)
+                            self->closeBoth();
+                        else
+                            self->copy(from, to, buf, isToCaller);
+                    });
+            });
     }
 
     void closeBoth()
@@ -113,11 +117,11 @@
     tcp::socket m_caller;
     tcp::socket m_server;
     const Fault *m_fault;
-    Buffer m_there{};
-    Buffer m_back{};
+    Buffer m_toServer{};
+    Buffer m_toCaller{};
 };
 
-/// One listening port and the server behind it.
+/// One listening port, the server behind it and the active fault.
 class Link
 {
 public:
@@ -128,14 +132,16 @@
         accept();
     }
 
+    /// Sets the fault of current and new connections.
     void set(const Fault &fault) { m_fault = fault; }
+    /// Resets all connections.
     void resetAll()
     {
-        for (const std::weak_ptr<Pipe> &it : m_pipes) {
-            if (const std::shared_ptr<Pipe> pipe = it.lock())
-                pipe->reset();
+        for (const std::weak_ptr<Connection> &it : m_connections) {
+            if (const std::shared_ptr<Connection> connection = it.lock())
+                connection->reset();
         }
-        m_pipes.clear();
+        m_connections.clear();
     }
 
 private:
@@ -143,12 +149,12 @@
     {
         m_acceptor.async_accept([this](const auto &ec, tcp::socket socket) {
             if (!ec) {
-                auto pipe = std::make_shared<Pipe>(std::move(socket), m_fault);
-                m_pipes.push_back(pipe);
+                auto connection = std::make_shared<Connection>(std::move(socket), m_fault);
+                m_connections.push_back(connection);
                 if (m_fault.mode == Mode::Refuse)
-                    pipe->reset();
+                    connection->reset();
                 else
-                    pipe->start(m_target);
+                    connection->start(m_target);
             }
             accept();
         });
@@ -157,15 +163,16 @@
     tcp::acceptor m_acceptor;
     tcp::endpoint m_target;
     Fault m_fault;
-    std::vector<std::weak_ptr<Pipe>> m_pipes;
+    std::vector<std::weak_ptr<Connection>> m_connections;
 };
 
-/// Orders by datagram: "PORT pass|silent|oneway|refuse|reset" or "PORT delay MS".
-class Orders
+/// Receives commands as datagrams: "PORT pass|silent|oneway|refuse|reset" or "PORT delay MS".
+/// Unknown ports and commands are ignored.
+class FaultCommands
 {
 public:
-    Orders(boost::asio::io_context &io, const udp::endpoint &at,
-           std::map<int, std::unique_ptr<Link>> &links)
+    FaultCommands(boost::asio::io_context &io, const udp::endpoint &at,
+                  std::map<int, std::unique_ptr<Link>> &links)
         : m_socket(io, at)
         , m_links(&links)
     {
@@ -178,12 +185,12 @@
         m_socket.async_receive_from(boost::asio::buffer(m_buffer), m_from,
                                     [this](const auto &ec, std::size_t n) {
                                         if (!ec)
-                                            obey({m_buffer.data(), n});
+                                            execute({m_buffer.data(), n});
                                         receive();
                                     });
     }
 
-    void obey(const std::string &text)
+    void execute(const std::string &text)
     {
         static const std::map<std::string, Mode> modes = {{"pass", Mode::Pass},
                                                           {"delay", Mode::Delay},
@@ -213,11 +220,12 @@
 
 } // namespace
 
-/// faultproxy IP ORDER_PORT FROM_PORT:TO_PORT...: passes connections on, and harms them as ordered.
+/// faultproxy IP COMMAND_PORT FROM_PORT:TO_PORT...: forwards the connections of each FROM_PORT to
+/// its TO_PORT, with the faults that are set by datagrams to COMMAND_PORT.
 int main(int argc, char **argv)
 {
     if (argc < 4) {
-        std::fputs("usage: faultproxy IP ORDER_PORT FROM:TO...\n", stderr);
+        std::fputs("usage: faultproxy IP COMMAND_PORT FROM:TO...\n", stderr);
         return 2;
     }
     boost::asio::io_context io;
@@ -232,7 +240,8 @@
             std::make_unique<Link>(io, tcp::endpoint(ip, static_cast<std::uint16_t>(from)),
                                    tcp::endpoint(ip, static_cast<std::uint16_t>(to)));
     }
-    Orders orders(io, udp::endpoint(ip, static_cast<std::uint16_t>(std::stoi(argv[2]))), links);
+    FaultCommands commands(io, udp::endpoint(ip, static_cast<std::uint16_t>(std::stoi(argv[2]))),
+                           links);
     std::puts("ready");
     std::fflush(stdout);
     io.run();
