--- a/tests/soak/soakcaller.cpp
+++ b/tests/soak/soakcaller.cpp
@@ -22,12 +22,13 @@
 
 using boost::asio::ip::tcp;
 
-/// Ports of the gateways' callers' addresses.
+/// Port at which the first gateway takes requests; the others follow.
 constexpr std::uint16_t firstPort = 19721;
 constexpr int gateways = 3;
 constexpr int eventsOfStream = 12;
 constexpr std::chrono::seconds receiveTimeout(9);
 
+/// One kind of request; its name is the first part of the path.
 struct Kind
 {
     const char *name;
@@ -44,8 +45,8 @@
         .count();
 }
 
-/// One line for each request: id, kind, key, when sent, status, verdict. A verdict that begins with
-/// "bad" breaks a promise.
+/// Prints one line for each request: id, kind, key, time of sending (Unix time in ms), status,
+/// verdict. A verdict that begins with "bad" is a violation that soak.sh reports. Thread-safe.
 class Record
 {
 public:
@@ -59,7 +60,8 @@
     std::mutex m_mutex;
 };
 
-/// The body of an answer in chunks, without them; empty and \a isWhole false if its end is missing.
+/// Decodes a body in chunked encoding. Sets \a isWhole to whether the last chunk is there; without
+/// it, the result is the part that arrived.
 std::string unchunked(const std::string &body, bool &isWhole)
 {
     std::string text;
@@ -81,7 +83,7 @@
     }
 }
 
-/// Whether \a text is the first events of the stream of \a path, whole and in order.
+/// Whether \a text is a prefix of the stream of \a path, or all of it if \a isWhole.
 bool isPrefixOfStream(const std::string &text, const std::string &path, bool isWhole)
 {
     std::string expected;
@@ -96,8 +98,9 @@
     return expected.compare(0, text.size(), text) == 0;
 }
 
-std::string judge(const std::string &answer, const Kind &kind, const std::string &id,
-                  const std::string &path)
+/// The verdict on the \a answer to the request \a id.
+std::string verdictOf(const std::string &answer, const Kind &kind, const std::string &id,
+                      const std::string &path)
 {
     const std::size_t headEnd = answer.find("\r\n\r\n");
     if (headEnd == std::string::npos)
@@ -119,6 +122,8 @@
     return isWhole ? "served" : "cut";
 }
 
+/// Sends \a request and returns the bytes of the answer that arrive until the connection closes or
+/// nothing has come for receiveTimeout; empty if there is no connection.
 std::string exchange(boost::asio::io_context &io, std::uint16_t port, const std::string &ip,
                      const std::string &request)
 {
@@ -141,6 +146,7 @@
     return answer;
 }
 
+/// Sends random requests to random gateways, one after the other, until \a isStopped.
 void call(const std::string &ip, std::uint32_t seed, int caller, const std::atomic<bool> &isStopped,
           Record &record)
 {
@@ -165,7 +171,7 @@
         const std::string status = answer.size() > 12 ? answer.substr(9, 3) : "000";
         std::ostringstream line;
         line << id << ' ' << kind.name << ' ' << key << ' ' << sentAt << ' ' << status << ' '
-             << (answer.empty() ? "unconnected" : judge(answer, kind, id, path));
+             << (answer.empty() ? "unconnected" : verdictOf(answer, kind, id, path));
         record.write(line.str());
         std::this_thread::sleep_for(std::chrono::milliseconds(random() % 30));
     }
@@ -173,7 +179,7 @@
 
 } // namespace
 
-/// soakcaller IP SEED CALLERS: sends requests until SIGTERM.
+/// soakcaller IP SEED CALLERS: runs CALLERS threads that send requests until SIGTERM.
 int main(int argc, char **argv)
 {
     if (argc < 4) {
