--- a/tests/processes/deployment.sh
+++ b/tests/processes/deployment.sh
@@ -1,31 +1,31 @@
-# Sourced by the scripts that run gateways, after FLEET_BUILD is set: a store of rows, three backend
-# servers and two gateways on this run's own loopback address. Nothing here judges how long
-# anything took.
+# Sourced by the scripts that run gateways, after FLEET_BUILD is set: a row store, three backend
+# servers and two gateways on a loopback address of this run's own. No check depends on how long
+# anything takes.
 . scripts/fleet.sh
 trap fleet_cleanup EXIT
 
 STORE=19700
 GATEWAYS=()
 
-# put TABLE KEY JSON: a row as the operator or a server writes it; null removes it.
+# put TABLE KEY JSON: writes a row as an operator or a server does; null removes it.
 put() {
     curl -sf -o "$FLEET_DIR/put" "http://$FLEET_IP:$STORE/put" \
-        -d '{"table":"'"$1"'","part":"","key":"'"$2"'","value":'"$3"'}' || fleet_fail "put $1 $2"
+        -d '{"table":"'"$1"'","part":"","key":"'"$2"'","value":'"$3"'}' || fleet_fail "the row was not written: $1 $2"
 }
 
-# fault PORT JSON: makes a stand-in fail.
+# fault PORT JSON: sets the fault of a stand-in.
 fault() {
-    curl -sf -o "$FLEET_DIR/fault" "http://$FLEET_IP:$1/faults" -d "$2" || fleet_fail "fault $*"
+    curl -sf -o "$FLEET_DIR/fault" "http://$FLEET_IP:$1/faults" -d "$2" || fleet_fail "the fault was not set: $*"
 }
 
-# route NAME KIND SERVICE EXTRA: one route of the configuration, with the prefix /NAME/.
+# route NAME KIND SERVICE EXTRA: prints a route of the configuration, with the prefix /NAME/.
 route() {
     echo '{"name":"'"$1"'","host":"cars.example","prefix":"/'"$1"'/","routeKind":"'"$2"'",
         "service":"'"$3"'","timeoutMs":6000,"targetLatencyMs":500,"gapTargetMs":400,
         "maxAttempts":3,"priority":1,"anonymous":false'"$4"'}'
 }
 
-# configure VERSION KEYS: KEYS is a JSON list, the keys of the one customer.
+# configure VERSION KEYS: writes the configuration. KEYS is a JSON list, the keys of the only customer.
 configure() {
     put op config '{"version":'"$1"',"routeTable":['"$(route stream streaming pool \
         ',"streamResume":true')"','"$(route once unsafe app '')"','"$(route read safe app '')"'],
@@ -36,13 +36,14 @@
         "tenants":[{"name":"dealer","apiKeys":'"$2"',"priority":1}]}'
 }
 
-# server N SERVICE STATE: the entry of backend server N.
+# server N SERVICE STATE: writes the entry of backend server N.
 server() {
     put servers "i-$1" '{"service":"'"$2"'","address":"'"$FLEET_IP"':1971'"$1"'","zone":"z",
         "version":"v1","slots":8,"state":"'"$3"'","sequence":1,"coldRemainingMs":0,
         "born":1764700000000}'
 }
 
+# gateway_start N: starts gateway N with settings of its own.
 gateway_start() {
     cat >"$FLEET_DIR/gateway-$1.json" <<EOF
 {"host":"gateway-$1","zone":"z","region":"r","callerAddress":"$FLEET_IP:1972$1",
@@ -57,17 +58,19 @@
     GATEWAYS[$1]=$!
 }
 
+# is_ready N: whether gateway N is ready.
 is_ready() {
     curl -sf -o "$FLEET_DIR/ready" "http://$FLEET_IP:1973$1/-/readyz"
 }
 
-# lists_gateways N COUNT: whether gateway N names that many gateways to callers.
+# lists_gateways N COUNT: whether gateway N returns COUNT gateways to callers.
 lists_gateways() {
     [ "$(curl -sf "http://$FLEET_IP:1974$1/-/resolve?name=cars.example&region=r&zone=z" \
         | jq '.addresses | length')" = "$2" ]
 }
 
-# call N PATH CURL_ARGUMENT...: prints the status; the body goes to $FLEET_DIR/body.
+# call N PATH CURL_ARGUMENT...: sends a request to gateway N. Prints the status and writes the body to
+# $FLEET_DIR/body.
 call() {
     local gateway=$1 path=$2
     shift 2
@@ -76,15 +79,17 @@
         -H "Attempt-Id: a$RANDOM$RANDOM" -H "Authorization: Bearer ${KEY:-key-1}" "$@" || true
 }
 
-# expect WHAT IS SHOULD_BE
+# expect WHAT ACTUAL EXPECTED: fails unless both values are equal.
 expect() {
     [ "$2" = "$3" ] || fleet_fail "$1: $2, expected $3; $(cat "$FLEET_DIR/body")"
 }
 
+# served N PATH: whether a request for PATH is served.
 served() {
     [ "$(call "$1" "$2")" = 200 ]
 }
 
+# answers N PATH STATUS: whether a request for PATH is answered with STATUS.
 answers() {
     [ "$(call "$1" "$2")" = "$3" ]
 }
@@ -92,7 +97,7 @@
 prompt=(-X POST -H 'Model: m' -H 'Token-Count: 700,40' -H 'Prefix-Hash: ab:500,cd:200'
     -d 'a question')
 
-# runs_of PATH: how often the servers began to run a request for it.
+# runs_of PATH: prints how often the servers began to run a request for PATH.
 runs_of() {
     local port
     for port in 19711 19712 19713; do
@@ -100,13 +105,14 @@
     done | jq -s --arg path "$1" '[.[].requests[] | select(.path == $path)] | length'
 }
 
-# is_whole_stream COUNT PATH: the body is every event once, in order.
+# is_whole_stream COUNT PATH: whether the body consists of COUNT events, each once and in order.
 is_whole_stream() {
     local expected
     expected=$(for i in $(seq 1 "$1"); do printf 'id: %s\ndata: %s %s\n\n' "$i" "$2" "$i"; done)
     [ "$(cat "$FLEET_DIR/body")" = "$expected" ]
 }
 
+# deployment_up: starts the store, the servers and the gateways, and waits until they are ready.
 deployment_up() {
     fleet_standin store rowstorestandin $STORE
     fleet_standin server-1 deployedserverstandin 19711 --id i-1 --work-ms 20
