--- a/tests/processes/gatewayexplain.sh
+++ b/tests/processes/gatewayexplain.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Three requests fail, and each failure is explained by "lagoonmast explain" from the gateways' logs
-# alone: refused without room, broken off in the middle, not repeatable with unknown outcome. The
-# metrics address counts them.
+# Guards against failures that an operator cannot trace: one request is refused since its server is
+# full, one stream breaks off, and one call that may not be repeated has an unknown outcome.
+# "lagoonmast explain" must explain each of them from the gateways' logs alone, and the metrics must
+# count them.
 # usage: gatewayexplain.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -9,7 +10,7 @@
 . tests/processes/deployment.sh
 deployment_up
 
-# request ID PATH CURL_ARGUMENT...
+# request ID PATH CURL_ARGUMENT...: sends a request with this Attempt-Id.
 request() {
     local id=$1 path=$2
     shift 2
@@ -18,18 +19,19 @@
         -H 'Authorization: Bearer key-1' "$@" || true
 }
 
+# explain ID: writes the explanation of the request to $FLEET_DIR/explanation.
 explain() {
-    "$FLEET_BUILD/src/app/lagoonmast" explain "$1" "$FLEET_DIR"/gateway-*.out >"$FLEET_DIR/way"
+    "$FLEET_BUILD/src/app/lagoonmast" explain "$1" "$FLEET_DIR"/gateway-*.out >"$FLEET_DIR/explanation"
 }
 
-# explained ID PATTERN...: the way of the request has a line with each pattern.
+# explained ID PATTERN...: fails unless the explanation of the request has a line for each pattern.
 explained() {
     local id=$1
     shift
-    fleet_until "the end of $id in the log" eval "explain $id && grep -q request.end $FLEET_DIR/way"
+    fleet_until "the end of $id in the log" eval "explain $id && grep -q request.end $FLEET_DIR/explanation"
     for pattern in "$@"; do
-        grep -Eq "$pattern" "$FLEET_DIR/way" \
-            || fleet_fail "$id is not explained by $pattern: $(cat "$FLEET_DIR/way")"
+        grep -Eq "$pattern" "$FLEET_DIR/explanation" \
+            || fleet_fail "$id is not explained by $pattern: $(cat "$FLEET_DIR/explanation")"
     done
 }
 
@@ -62,4 +64,4 @@
     grep -Eq "lagoonmast_gateway_$pattern|$pattern" "$FLEET_DIR/metrics" \
         || fleet_fail "no $pattern: $(cat "$FLEET_DIR/metrics")"
 done
-fleet_stop || fleet_fail "a process did not end well"
+fleet_stop || fleet_fail "a process did not exit with 0"
