--- a/tests/processes/gatewayserverfails.sh
+++ b/tests/processes/gatewayserverfails.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Callers see whole answers, or failures that are true, while backend servers fail: one stops in
-# the middle of an event, one has no room, one answers for another request, one loses the answer
-# to a call that may run once only.
+# Guards against incomplete answers and false error messages while backend servers fail: one stops
+# in the middle of an event, one is full, one answers another request, and one loses the answer to a
+# call that may run only once.
 # usage: gatewayserverfails.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -9,19 +9,19 @@
 . tests/processes/deployment.sh
 deployment_up
 
-# The server of a stream crashes in the middle of an event; the other one goes on with it, in the
-# same answer, after the last whole event.
+# The server of a stream crashes in the middle of an event. The other server continues the same answer
+# after the last complete event.
 for port in 19711 19712; do
     fault $port '{"mode":"cut","afterEvents":3,"count":1}'
 done
 expect "a stream whose server crashed" "$(call 1 /stream/a "${prompt[@]}")" 200
-is_whole_stream 8 /stream/a || fleet_fail "not whole: $(cat "$FLEET_DIR/body")"
-[ "$(runs_of /stream/a)" -ge 2 ] || fleet_fail "nothing was cut"
+is_whole_stream 8 /stream/a || fleet_fail "the stream is not complete: $(cat "$FLEET_DIR/body")"
+[ "$(runs_of /stream/a)" -ge 2 ] || fleet_fail "no server crashed"
 for port in 19711 19712; do
     fault $port '{"mode":"none"}'
 done
 
-# A server that has no room did not run the request: another one does, once.
+# A full server does not run the request; another one runs it once.
 fault 19711 '{"mode":"refuse","count":4}'
 for i in 1 2 3 4; do
     expect "a stream beside a full server" "$(call 1 "/stream/full-$i" "${prompt[@]}")" 200
@@ -29,41 +29,42 @@
 done
 fault 19711 '{"mode":"none"}'
 
-# The only application server has no room: nothing has run, and the answer says so.
+# The only application server is full. The request has not run, and the answer says so.
 fault 19713 '{"mode":"refuse"}'
-expect "a call without room" "$(call 1 /once/refused -d x)" 503
-grep -q '"ran":"no"' "$FLEET_DIR/body" || fleet_fail "no promise: $(cat "$FLEET_DIR/body")"
+expect "a call at a full server" "$(call 1 /once/refused -d x)" 503
+grep -q '"ran":"no"' "$FLEET_DIR/body" || fleet_fail "the answer does not say that the call has not run: $(cat "$FLEET_DIR/body")"
 expect "runs of it" "$(runs_of /once/refused)" 0
 fault 19713 '{"mode":"none"}'
 
-# The answer to a call that runs at most once is lost: it is not sent again and nothing is promised.
+# The answer to a call that runs at most once is lost. The call is not sent again, and the answer says
+# that it may have run.
 fault 19713 '{"mode":"cut","count":1}'
 expect "a call whose answer was lost" "$(call 1 /once/lost -d x)" 502
-grep -q '"ran":"unknown"' "$FLEET_DIR/body" || fleet_fail "a promise: $(cat "$FLEET_DIR/body")"
+grep -q '"ran":"unknown"' "$FLEET_DIR/body" || fleet_fail "the answer does not say that the call may have run: $(cat "$FLEET_DIR/body")"
 expect "runs of it" "$(runs_of /once/lost)" 1
 
-# An answer to somebody else's request is skipped, and the own one is waited for up to the route's
-# timeout; one without the server's signature is not passed on.
+# The gateway skips an answer to another request and waits for the right one up to the route's timeout.
+# It does not pass on an answer without the server's stamp.
 fault 19713 '{"mode":"crossed","count":1}'
-expect "a crossed answer" "$(call 1 /once/crossed -d x)" 504
+expect "an answer to another request" "$(call 1 /once/crossed -d x)" 504
 fault 19713 '{"mode":"unsigned","count":1}'
-expect "an unsigned answer" "$(call 1 /once/unsigned -d x)" 502
+expect "an answer without a stamp" "$(call 1 /once/unsigned -d x)" 502
 
-# A server's own failure is passed on as it is.
+# An error of the server itself is passed on unchanged.
 fault 19713 '{"mode":"error","count":1}'
-expect "a failure of the server" "$(call 1 /once/error -d x)" 500
-grep -qi '^Server-Stamp: stamp-of-i-3' "$FLEET_DIR/head" || fleet_fail "not the server's failure"
+expect "an error of the server" "$(call 1 /once/error -d x)" 500
+grep -qi '^Server-Stamp: stamp-of-i-3' "$FLEET_DIR/head" || fleet_fail "not the error of the server"
 
-# A call that may be repeated is sent again.
+# A repeatable call is retried.
 fault 19713 '{"mode":"cut","count":1}'
 expect "a read whose answer was lost" "$(call 1 /read/lost)" 200
-# On a busy machine a slow attempt is repeated too, up to the route's three.
+# On a busy machine a slow attempt is retried too, up to the route's three attempts.
 case "$(runs_of /read/lost)" in
 2 | 3) ;;
 *) fleet_fail "ran $(runs_of /read/lost) times" ;;
 esac
 
-# An address is given to another server: the request that expected the old one does not run there.
+# An address is reused by another server. A request that expects the old server does not run there.
 server 1 pool draining
 server 2 pool draining
 put servers i-9 '{"service":"pool","address":"'"$FLEET_IP"':19711","zone":"z","version":"v1",
@@ -72,4 +73,4 @@
 fleet_until "the new entry" answers 1 /stream/moving 503
 expect "a request at the address of another server" "$(call 1 /stream/moved "${prompt[@]}")" 503
 expect "runs of it" "$(runs_of /stream/moved)" 0
-fleet_stop || fleet_fail "a process did not end well"
+fleet_stop || fleet_fail "a process did not exit with 0"
