--- a/tests/processes/gatewayshutdown.sh
+++ b/tests/processes/gatewayshutdown.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# A gateway is told to stop while a stream runs. It is not ready any more and out of the other's
-# list at once, the stream comes out whole, callers who still come are served, and it exits with 0.
+# Guards against answers that are lost in a shutdown. A gateway is told to stop while a stream runs.
+# It must become unready and leave the other gateway's list at once, complete the stream, serve
+# callers that still arrive, and exit with 0.
 # usage: gatewayshutdown.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -18,13 +19,13 @@
 fleet_until "the first event" grep -q 'id: 1' "$FLEET_DIR/stream"
 kill "${GATEWAYS[1]}"
 not_ready() { ! is_ready 1; }
-fleet_until "not ready" not_ready
-fleet_until "out of the list" lists_gateways 2 1
-expect "a caller that still comes" "$(call 1 /read/late)" 200
-grep -qi '^Connection: close' "$FLEET_DIR/head" || fleet_fail "the connection is not ended"
-wait $caller || fleet_fail "the stream was cut"
+fleet_until "gateway-1 not ready" not_ready
+fleet_until "gateway-1 out of the list" lists_gateways 2 1
+expect "a call during the shutdown" "$(call 1 /read/late)" 200
+grep -qi '^Connection: close' "$FLEET_DIR/head" || fleet_fail "the connection is not closed"
+wait $caller || fleet_fail "the stream was broken off"
 cp "$FLEET_DIR/stream" "$FLEET_DIR/body"
-is_whole_stream 8 /stream/long || fleet_fail "not whole: $(cat "$FLEET_DIR/body")"
+is_whole_stream 8 /stream/long || fleet_fail "the stream is not complete: $(cat "$FLEET_DIR/body")"
 wait "${GATEWAYS[1]}" || fleet_fail "exit status $?"
 FLEET_PIDS=("${FLEET_PIDS[@]:0:FLEET_STANDINS}" "${GATEWAYS[2]}")
-fleet_stop || fleet_fail "a process did not end well"
+fleet_stop || fleet_fail "a process did not exit with 0"
