--- a/tests/processes/homelost.sh
+++ b/tests/processes/homelost.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Deposit holds come in faster than the application server takes them, so they wait in the queue of
-# the pool's home router, though their callers are at the two others. The home dies (SIGKILL) or
-# freezes (SIGSTOP) with the queue in it. Each caller must get an answer; a hold that the lost home
-# had let go, and that the new home lets go again, would run twice, also once the old one wakes.
+# Guards against deposit holds that run twice, or never, when a pool's home router is lost. The home
+# is the router that queues the pool's requests and grants their permits to run. Holds arrive at the
+# two other routers faster than the application server runs them, so they wait at the home, which then
+# dies (SIGKILL) or freezes (SIGSTOP). A hold that the lost home has dispatched and that the new home
+# dispatches again would run twice, also after the old home resumes. Every caller must get an answer.
 # usage: homelost.sh BUILD_FOLDER KILL|STOP
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -12,7 +13,7 @@
 
 holds=30
 fleet_up
-# The span of a first call names the home.
+# The spans of the first call name the home.
 request=$(curl -sf -D - -o "$FLEET_DIR/first" "${dealer[@]}" -d '{}' \
     "http://$FLEET_IP:18711/v1/services/deposits/price/1" | tr -d '\r' \
     | sed -n 's/^X-Request-Id: //p')
@@ -47,6 +48,7 @@
 for caller in "${CALLERS[@]}"; do
     wait "$caller" || fleet_fail "a caller was left without an answer"
 done
+# all_ran_once: fails unless every hold was answered with 200 and ran exactly once.
 all_ran_once() {
     local entry i
     for entry in "${entries[@]}"; do
@@ -63,11 +65,11 @@
 if [ "$how" = STOP ]; then
     kill -CONT "$pid"
     for entry in 1 2 3; do
-        fleet_until "entry-$entry to see all" fleet_is_ready "$FLEET_IP:1871$entry" 3
+        fleet_until "all three routers at entry-$entry" fleet_is_ready "$FLEET_IP:1871$entry" 3
     done
-    # What the woken router still had in hand is over once it serves a call of its own.
-    [ "$(hold "$home" woken)" = 200 ] || fleet_fail "woken: $(cat "$FLEET_DIR/woken.answer")"
-    [ "$(runs_of woken)" = 1 ] || fleet_fail "the woken router's call did not run once"
+    # Once the resumed router has served a new call, it has finished its earlier work.
+    [ "$(hold "$home" woken)" = 200 ] || fleet_fail "hold at the resumed router: $(cat "$FLEET_DIR/woken.answer")"
+    [ "$(runs_of woken)" = 1 ] || fleet_fail "the hold at the resumed router did not run once"
     all_ran_once
 fi
 echo "home entry-$home: all $((2 * holds)) holds answered and run once"
