--- a/tests/processes/platformdown.sh
+++ b/tests/processes/platformdown.sh
@@ -1,14 +1,16 @@
 #!/usr/bin/env bash
-# The platform fails for a while. Customers who read answers must not notice; a deposit hold can't
-# be claimed, so its caller has to hear at once that it did not run and when to come back. Then the
-# platform does a claim's write but loses the answer: a router that took this for a refusal would
-# keep the key from its own caller, one that took it for leave to start anew would hold twice.
+# The platform is down for a while. Streamed answers must go on. A deposit hold cannot be claimed, that
+# is, its key cannot be recorded before the hold runs, so its caller must be told at once that it has
+# not run and when to retry. Then the platform executes the write of a claim but loses the answer: a
+# router that treats this as a refusal would block the key for its own caller, one that starts again
+# would run the hold twice.
 # usage: platformdown.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 FLEET_BUILD=$1
 . tests/processes/common.sh
 
+# targets_of ENTRY: prints the version and the targets that the router has.
 targets_of() {
     curl -sf "http://$FLEET_IP:1871$1/v1/targets" | jq -cS '[.version, .targets]'
 }
@@ -31,21 +33,21 @@
         [ "$(jq -r .error.ran "$FLEET_DIR/refused")" = no ] \
             || fleet_fail "hold: $(cat "$FLEET_DIR/refused")"
         grep -qiE '^Retry-After: [1-9][0-9]*' "$FLEET_DIR/head" || fleet_fail "no Retry-After"
-        [ "$(runs_of "refused-$name")" = 0 ] || fleet_fail "ran no, but the journal has it"
+        [ "$(runs_of "refused-$name")" = 0 ] || fleet_fail "the answer says not run, but the journal has the hold"
         [ "$(targets_of "$entry")" = "$before" ] || fleet_fail "targets: $(targets_of "$entry")"
     done
 done
 fault 18700 '{"mode":"none"}'
 
-# The refused key is as good as new once the platform is back.
+# A refused key can be used once the platform is back.
 is_held() {
     [ "$(hold 2 refused-1-1)" = 200 ]
 }
-fleet_until "the refused hold to be let in" is_held
+fleet_until "the refused hold to run" is_held
 [ "$(runs_of refused-1-1)" = 1 ] || fleet_fail "refused-1-1 ran $(runs_of refused-1-1) times"
 
-# Reading the table by hand would lose its answer too; that a write was done is told by /counts,
-# which no fault meets. Several keys, as another write may be the one that is counted.
+# A read of the table would lose its answer too, so /counts, which no fault affects, shows that a
+# write was executed. Several keys are tried, since the counted write may be another one.
 writes_done() {
     curl -sf "http://$FLEET_IP:18700/counts" | jq .writes
 }
@@ -55,8 +57,8 @@
 is_lost_held() {
     [ "$(hold "$1" "$key")" = 200 ]
 }
-# A router that has just met failures of the table refuses claims for a while without a write: such
-# a try proves nothing about a lost answer, so it is checked as a refusal and made again.
+# A router refuses claims without a write for a while after failures of the table. Such an attempt says
+# nothing about a lost answer, so it is checked as a refusal and repeated.
 is_claiming() {
     [ "$(hold 1 "ready-$i")" = 200 ]
 }
@@ -77,7 +79,7 @@
     wait "$lost_caller" || true
     case "$(cat "$FLEET_DIR/$key.status") $(jq -r '.error.ran // "-"' "$FLEET_DIR/$key.answer")" in
     "200 -") lost=$((lost + 1)) ;;
-    "503 no") [ "$(runs_of "$key")" = 0 ] || fleet_fail "$key: ran no, but the journal has it" ;;
+    "503 no") [ "$(runs_of "$key")" = 0 ] || fleet_fail "$key: the answer says not run, but the journal has it" ;;
     *) fleet_fail "$key: $(cat "$FLEET_DIR/$key.status" "$FLEET_DIR/$key.answer")" ;;
     esac
     fleet_until "the answer of $key at entry-2" is_lost_held 2
@@ -85,4 +87,4 @@
     [ "$(runs_of "$key")" = 1 ] || fleet_fail "$key ran $(runs_of "$key") times"
 done
 [ "$lost" = 3 ] || fleet_fail "only $lost of 15 holds were answered after a lost answer"
-echo "platform down: served on; $lost of $((i - 1)) holds answered after a lost answer"
+echo "platform down: still served; $lost of $((i - 1)) holds answered after a lost answer"
