--- a/tests/processes/routerkilled.sh
+++ b/tests/processes/routerkilled.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# A router dies (SIGKILL) while a customer reads a stream through it and another one's deposit hold
-# runs behind it. The reader must see that the answer is cut; the holder, who got no answer, asks
-# again with the same key at another router. Were the key free there, the deposit would be held
-# twice, since the application server still runs the first call.
+# A router is killed (SIGKILL) while it forwards a stream to one caller and waits for another caller's
+# deposit hold. The reader of the stream must be able to tell that the answer is incomplete. The other
+# caller gets no answer and retries with the same key at another router. If the key were free there,
+# the deposit would be held twice, since the application server still runs the first call.
 # usage: routerkilled.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -10,7 +10,7 @@
 . tests/processes/common.sh
 
 fleet_up
-# Done before: its answer is stored, and another router has to give just that.
+# This hold finishes before the failure. Its answer is stored, and other routers must return it.
 [ "$(hold 1 before)" = 200 ] || fleet_fail "hold: $(cat "$FLEET_DIR/before.answer")"
 cp "$FLEET_DIR/before.answer" "$FLEET_DIR/before.first"
 
@@ -40,46 +40,47 @@
 
 status=0
 wait "$cut_caller" || status=$?
-[ "$status" != 0 ] || fleet_fail "the caller of the killed router saw a regular end"
-! has_end cut || fleet_fail "[DONE] after a cut"
-[ "$(stream_tokens cut)" -lt 200 ] || fleet_fail "nothing was cut"
+[ "$status" != 0 ] || fleet_fail "the caller of the killed router saw a regular end of the stream"
+! has_end cut || fleet_fail "the broken stream has [DONE]"
+[ "$(stream_tokens cut)" -lt 200 ] || fleet_fail "the stream was complete before the router died"
 wait "$hold_caller" || true
 [ "$(cat "$FLEET_DIR/during.status")" = 000 ] || fleet_fail "the hold got an answer"
 
-# Asked again at once, and until the first run is certainly over.
-asked_again() {
+# The hold is retried at once, and again after its first run has ended.
+# check_retry ENTRY: fails unless the retry is refused since the key is in use.
+check_retry() {
     local got
     got=$(hold "$1" during)
-    [ "$got" = 409 ] || fleet_fail "asked again: $got $(cat "$FLEET_DIR/during.answer")"
+    [ "$got" = 409 ] || fleet_fail "retry: $got $(cat "$FLEET_DIR/during.answer")"
     jq -e '.error.type == "key_in_progress" and .error.ran == "unknown"' \
         "$FLEET_DIR/during.answer" >/dev/null \
-        || fleet_fail "asked again: $(cat "$FLEET_DIR/during.answer")"
+        || fleet_fail "retry: $(cat "$FLEET_DIR/during.answer")"
 }
 first_ended() {
     curl -sf "http://$FLEET_IP:18741/journal" | jq -e \
         'any(.requests[]; .idempotencyKey == "during" and .state == "finished")' >/dev/null
 }
-asked_again 2
-asked_again 3
+check_retry 2
+check_retry 3
 fleet_until "the end of the first run" first_ended
-asked_again 2
-asked_again 3
+check_retry 2
+check_retry 3
 [ "$(runs_of during)" = 1 ] || fleet_fail "the hold ran $(runs_of during) times"
 
 for entry in 2 3; do
     [ "$(hold "$entry" before)" = 200 ] || fleet_fail "the stored answer is gone"
     cmp -s "$FLEET_DIR/before.answer" "$FLEET_DIR/before.first" \
-        || fleet_fail "another answer: $(cat "$FLEET_DIR/before.answer")"
+        || fleet_fail "not the stored answer: $(cat "$FLEET_DIR/before.answer")"
 done
 [ "$(runs_of before)" = 1 ] || fleet_fail "the finished hold ran again"
 
-wait "$other_caller" || fleet_fail "the stream of entry-2 was cut off"
+wait "$other_caller" || fleet_fail "the stream of entry-2 was broken off"
 check_stream other 200
 for entry in 2 3; do
     fleet_until "entry-1 gone from entry-$entry" lists_without "$entry" 1
-    fleet_answers "$FLEET_IP:1871$entry" || fleet_fail "entry-$entry doesn't serve"
+    fleet_answers "$FLEET_IP:1871$entry" || fleet_fail "entry-$entry does not serve"
     [ "$(hold "$entry" "after-$entry")" = 200 ] \
         || fleet_fail "hold at entry-$entry: $(cat "$FLEET_DIR/after-$entry.answer")"
     [ "$(runs_of "after-$entry")" = 1 ] || fleet_fail "a later hold did not run once"
 done
-echo "cut after $(stream_tokens cut) tokens; the hold ran once"
+echo "stream broken off after $(stream_tokens cut) tokens; the hold ran once"
