--- a/tests/processes/serverleaving.sh
+++ b/tests/processes/serverleaving.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# An operator marks a model server as leaving and switches it off once its work is over. A router
-# that went on sending new work there would have those answers cut off. What ran there before the
-# mark has to end whole.
+# Guards against broken answers when a model server leaves. An operator marks the server as leaving and
+# switches it off once its work is done. Routers must send no new work there after the mark, and work
+# that runs there already must be completed.
 # usage: serverleaving.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 FLEET_BUILD=$1
 . tests/processes/common.sh
 
+# runs_at PORT: prints how many requests the model server began to run.
 runs_at() {
     curl -sf "http://$FLEET_IP:$1/journal" | jq '.requests | length'
 }
@@ -21,11 +22,12 @@
 for ((i = 1; i <= 6; ++i)); do
     fleet_until "the first token of before-$i" has_token "before-$i"
 done
-[ "$(runs_at 18731)" -gt 0 ] || fleet_fail "model-1 had no work before"
+[ "$(runs_at 18731)" -gt 0 ] || fleet_fail "model-1 had no work before the mark"
 curl -sf -X PUT "http://$FLEET_IP:18700/hosts/model-1/state" -d '{"state":"leaving"}' \
-    -o "$FLEET_DIR/state" || fleet_fail "the mark was refused"
+    -o "$FLEET_DIR/state" || fleet_fail "the state was not changed"
 
-# Every router polls the list each second: ten of its reads are "a few seconds" for all three.
+# Each of the three routers polls the list once a second, so ten reads take a few seconds and include
+# reads of every router.
 reads() {
     curl -sf "http://$FLEET_IP:18700/counts" | jq .hostReads
 }
@@ -35,7 +37,7 @@
 }
 fleet_until "the list to be polled" has_polled
 for ((i = 1; i <= 6; ++i)); do
-    wait "${CALLERS[i - 1]}" || fleet_fail "before-$i was cut off"
+    wait "${CALLERS[i - 1]}" || fleet_fail "before-$i was broken off"
     check_stream "before-$i" 100
 done
 fault 18731 '{"mode":"none"}'
@@ -44,9 +46,9 @@
 old_2=$(runs_at 18732)
 for ((i = 1; i <= 30; ++i)); do
     start_stream "after-$i" $((i % 3 + 1)) 3
-    wait "${CALLERS[-1]}" || fleet_fail "after-$i was cut off"
+    wait "${CALLERS[-1]}" || fleet_fail "after-$i was broken off"
     check_stream "after-$i" 3
 done
 [ "$(runs_at 18731)" = "$old_1" ] || fleet_fail "model-1 got new work: $old_1, $(runs_at 18731)"
 [ "$(runs_at 18732)" = $((old_2 + 30)) ] || fleet_fail "model-2 ran $(runs_at 18732) - $old_2"
-echo "30 answers, none of them by the server that leaves"
+echo "30 answers, none of them from the leaving server"
