--- a/tests/processes/shutdown.sh
+++ b/tests/processes/shutdown.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# A customer reads a long answer while operators replace the router that it comes through, and
-# other callers still have that router in a list of entry hosts that they may keep for a while.
-# SIGTERM arrives, then a second one. Were the router to end before its streams, or refuse callers
-# with the old list, an answer would be cut off or a connection refused, only for a restart.
-# usage: shutdown.sh BUILD_FOLDER busy|idle LEAVING_ENTRY...; idle: no long stream at the routers
-# that leave, so that only the callers with the old list keep them.
+# Guards against answers and connections that are lost when a router is restarted. Callers read long
+# streams through the routers that leave, and other callers may keep using the list of entry hosts
+# that names these routers until it expires. The routers get SIGTERM, and later a second one. They
+# must not exit before their streams end and before the old lists have expired.
+# usage: shutdown.sh BUILD_FOLDER busy|idle LEAVING_ENTRY...
+#   idle: the leaving routers have no long stream, so only callers with an old list need them.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 FLEET_BUILD=$1
@@ -23,7 +23,7 @@
 list_age=$(jq .maxAgeSeconds <<<"$old_list")
 [ "$(jq '.hosts | length' <<<"$old_list")" = 3 ] || fleet_fail "the list is $old_list"
 
-# Slow enough that the streams outlast the time in which old lists are served.
+# The streams must last longer than callers may use the old list.
 for port in 18731 18732; do
     fault "$port" '{"mode":"slow","delayMs":50}'
 done
@@ -47,7 +47,7 @@
     kill -TERM "$pid"
 done
 
-# Callers with the old list, for as long as they may keep it.
+# Callers use the old list until it expires.
 until_age=$((SECONDS + list_age))
 calls=0
 while [ "$SECONDS" -lt "$until_age" ]; do
@@ -63,11 +63,11 @@
         lists_without 3 "$entry" || fleet_fail "entry-$entry is listed again"
     done
 done
-[ "$calls" -gt 0 ] || fleet_fail "no caller with an old list"
+[ "$calls" -gt 0 ] || fleet_fail "no call was made with the old list"
 
 for i in "${!streaming[@]}"; do
     entry=${streaming[i]}
-    wait "${CALLERS[i]}" || fleet_fail "the caller of long-$entry was cut off"
+    wait "${CALLERS[i]}" || fleet_fail "the stream long-$entry was broken off"
     check_stream "long-$entry" "$tokens"
 done
 for pid in "${pids[@]}"; do
@@ -75,9 +75,9 @@
     wait "$pid" || status=$?
     [ "$status" = 0 ] || fleet_fail "a router that left exited with $status"
 done
-# What is over is no longer ours to stop.
+# These processes have exited, so fleet_cleanup must not signal their ids.
 for entry in "${leaving[@]}"; do
     unset "FLEET_PIDS[FLEET_STANDINS + entry - 1]"
 done
-fleet_answers "$FLEET_IP:18713" || fleet_fail "entry-3 doesn't serve on"
-echo "$calls rounds of late calls, all whole; entries ${leaving[*]} exited with 0"
+fleet_answers "$FLEET_IP:18713" || fleet_fail "entry-3 does not serve any more"
+echo "$calls rounds of late calls, all complete; entries ${leaving[*]} exited with 0"
