--- a/tests/golden/failures.sh
+++ b/tests/golden/failures.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Brings about failures that only real processes can have, and prints what callers got and what
-# the backend servers ran. tests/golden/failures.txt is what it has to be.
+# Causes failures that only real processes can have, and prints what callers received and what the
+# backend servers ran. The output must equal tests/golden/failures.txt.
 # usage: failures.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -11,16 +11,16 @@
 headers=(-H 'Authorization: Bearer example-key-dealer' -H 'X-Lagoonmast-Class: buyer-replies'
     -H 'Content-Type: application/json')
 
-# chat ENTRY TOKENS PROMPT: a streamed answer.
+# chat ENTRY TOKENS PROMPT: requests a streamed answer and prints it.
 chat() {
     curl -s --max-time 60 "http://$FLEET_IP:1871$1/v1/chat/completions" "${headers[@]}" -d '{
         "model":"condition-writer","stream":true,"max_tokens":'"$2"',
         "messages":[{"role":"user","content":"'"$3"'"}]}'
 }
 
-# whole TOKENS FILE...: how many of the files hold a whole answer: all tokens of one prompt in
-# order, the usage and one [DONE].
-whole() {
+# count_complete TOKENS FILE...: prints how many of the files hold a complete answer: all tokens of one
+# prompt in order, the usage and one [DONE].
+count_complete() {
     local tokens=$1 count=0 file
     shift
     for file in "$@"; do
@@ -34,29 +34,29 @@
     echo "$count"
 }
 
-# hold ENTRY KEY: a deposit hold; prints the status.
+# hold ENTRY KEY: requests a deposit hold and prints the status.
 hold() {
     curl -s --max-time 30 -o "$FLEET_DIR/hold" -w '%{http_code}\n' "${headers[@]}" \
         -H 'X-Lagoonmast-Repeatable: no' -H "Idempotency-Key: $2" \
         "http://$FLEET_IP:1871$1/v1/services/deposits/hold" -d '{"car":1}'
 }
 
-# holds KEY: how often the application server ran it.
-holds() {
+# runs_of KEY: prints how often the application server ran the hold.
+runs_of() {
     curl -s "http://$FLEET_IP:18741/journal" \
         | jq --arg key "$1" '[.requests[] | select(.idempotencyKey == $key)] | length'
 }
 
 fleet_up
 
-# A buyer pays a deposit. The router's claim is written, but the table's answer is lost on the way
-# back. A router that took this for "not written" would refuse work whose key is now taken for
-# good; one that wrote again under a new name would run it twice.
+# A caller requests a deposit hold. The router's claim of the key is written, but the answer of the
+# table is lost. A router that treats the claim as not written would refuse a hold whose key is now
+# taken for good; one that writes another claim would run the hold twice.
 curl -s -o "$FLEET_DIR/fault" "http://$FLEET_IP:18700/faults" -d '{"mode":"loseAnswers","count":1}'
-echo "claim whose answer is lost: status $(hold 1 lost), ran $(holds lost) time(s)"
+echo "claim whose answer is lost: status $(hold 1 lost), ran $(runs_of lost) time(s)"
 
-# The buyer's page sends the same hold to three routers at once. Without a claim in one place each
-# would run it.
+# The same hold is sent to three routers at once. Without a claim in a common table each of them would
+# run it.
 senders=()
 for entry in 1 2 3; do
     hold "$entry" same >"$FLEET_DIR/status-$entry" &
@@ -65,10 +65,10 @@
 wait "${senders[@]}"
 answers=$(cat "$FLEET_DIR"/status-? | sort -u | tr '\n' ' ')
 [[ $answers =~ ^(200 )(409 )?$ ]] && answers="200, or 409 while it runs"
-echo "one hold at three routers at once: $answers; ran $(holds same) time(s)"
+echo "one hold at three routers at once: $answers; ran $(runs_of same) time(s)"
 
-# The router that queues for the model is killed while work waits with it and runs under its
-# permits. Callers of the others must see nothing of it: running streams go on, waiting work is
+# The home of the model's pool is killed, the router that queues its requests and grants permits to run
+# them. Callers of the other routers must not notice: running streams go on, and waiting requests are
 # queued at the next home.
 chat 1 1 warm >"$FLEET_DIR/warm"
 request=$(jq -rs 'map(select(.name == "entry")) | last.tags.request' "$FLEET_DIR/entry-1.out")
@@ -86,11 +86,11 @@
 }
 fleet_until "a stream" any_running
 kill -KILL "${FLEET_PIDS[$((FLEET_STANDINS + home - 1))]}"
-wait "${streams[@]}" || echo "a stream was cut off"
-echo "home killed under 24 streams: $(whole 60 "$FLEET_DIR"/stream-*) whole"
+wait "${streams[@]}" || echo "a stream was broken off"
+echo "home killed under 24 streams: $(count_complete 60 "$FLEET_DIR"/stream-*) whole"
 
-# A router is told to shut down while an answer of 19 s streams, longer than entry lists live. Its
-# caller must get all of it, and callers that hold an old list are served meanwhile.
+# A router is told to shut down while it streams an answer of 19 s, which is longer than a list of entry
+# hosts is valid. The caller must get the complete answer, and callers with an old list must be served.
 leaving=${others[0]} staying=${others[1]}
 chat "$leaving" 3800 long >"$FLEET_DIR/long" &
 long=$!
@@ -103,20 +103,20 @@
 echo "leaving router: readyz $(curl -s -o "$FLEET_DIR/readyz" -w '%{http_code}' \
     "http://$FLEET_IP:1871$leaving/readyz")"
 chat "$leaving" 5 late >"$FLEET_DIR/late"
-echo "new work at the leaving router: $(whole 5 "$FLEET_DIR/late") whole"
+echo "new work at the leaving router: $(count_complete 5 "$FLEET_DIR/late") whole"
 status=0
 wait "${FLEET_PIDS[$((FLEET_STANDINS + leaving - 1))]}" || status=$?
-wait "$long" || echo "the long stream was cut off"
-echo "its long stream: $(whole 3800 "$FLEET_DIR/long") whole; exit status $status"
+wait "$long" || echo "the long stream was broken off"
+echo "its long stream: $(count_complete 3800 "$FLEET_DIR/long") whole; exit status $status"
 
-# A model server is marked as leaving. Once its home has seen that, it must get nothing new.
+# A model server is marked as leaving. Once the pool's home knows that, the server must get no new work.
 curl -s -o "$FLEET_DIR/hosts" -X PUT "http://$FLEET_IP:18700/hosts/model-1/state" \
     -d '{"state":"leaving"}'
 has_left() {
     curl -s "http://$FLEET_IP:1871$staying/metrics" \
         | grep -q 'server_permit_limit{pool="model/condition-writer",server="model-1"} 0'
 }
-fleet_until "the home's view of model-1" has_left
+fleet_until "the mark of model-1 at the home" has_left
 ran() {
     curl -s "http://$FLEET_IP:18731/journal" | jq '.requests | length'
 }
@@ -124,5 +124,5 @@
 for n in $(seq 20); do
     chat "$staying" 2 "after $n" >"$FLEET_DIR/after-$n"
 done
-echo "leaving server: 20 requests, $(whole 2 "$FLEET_DIR"/after-*) whole," \
+echo "leaving server: 20 requests, $(count_complete 2 "$FLEET_DIR"/after-*) whole," \
     "$(($(ran) - before)) of them there"
