--- a/tests/golden/compare.sh
+++ b/tests/golden/compare.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs a script of this folder and compares what it prints with its golden file.
+# Runs a script of this folder and compares its output with its golden file.
 # usage: compare.sh NAME BUILD_FOLDER
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
