--- a/tests/packages/listgap.sh
+++ b/tests/packages/listgap.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Guards against a list of packages that builds only where more than the list is installed:
-# scripts/checkpackages.sh refuses a list with a name taken out, or one that nothing uses, and a
-# file of no package. files.txt has a file of each listed package that the build uses.
+# Guards against a list of packages that suffices only on machines with further packages installed.
+# scripts/checkpackages.sh must reject a list that lacks a package, a list with an unused package, and
+# a used file that no package owns. files.txt has a file of each listed package that the build uses.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 . scripts/manifest.sh
@@ -9,31 +9,31 @@
 trap 'rm -rf "$work"' EXIT
 failures=0 status=0
 
-# check: checks $work/files against $work/manifest.
+# check: runs checkpackages.sh on $work/files and $work/manifest; sets status.
 check() {
     status=0
     scripts/checkpackages.sh --files "$work/files" --manifest "$work/manifest" \
         >"$work/output" 2>&1 || status=$?
 }
 
-# expect NAME STATUS TEXT: the check ended with STATUS and printed TEXT.
+# expect NAME STATUS TEXT: records a failure unless the check exited with STATUS and printed TEXT.
 expect() {
     local name=$1
     if [ "$status" -eq "$2" ] && grep -q -- "$3" "$work/output"; then
-        echo "good: $name"
+        echo "passed: $name"
         return
     fi
     failures=$((failures + 1))
-    echo "WRONG: $name: status $status, expected $2 and \"$3\""
+    echo "FAILED: $name: status $status, expected $2 and \"$3\""
     cat "$work/output"
 }
 
 cp tests/packages/files.txt "$work/files"
 cp deploy/system.toml "$work/manifest"
 check
-expect "the list as it stands" 0 "0 failures"
+expect "the current list" 0 "0 failures"
 
-# Every third name at a time, since one check takes seconds.
+# Each check removes every third name, since one check takes seconds.
 mapfile -t packages < <(manifest_packages deploy/system.toml)
 for first in 0 1 2; do
     cp deploy/system.toml "$work/manifest"
@@ -42,7 +42,7 @@
     done
     check
     for ((i = first; i < ${#packages[@]}; i += 3)); do
-        # build-essential stands for the compiler that it brings.
+        # build-essential owns no files; its compiler stands for it.
         expect "without ${packages[i]}" 1 "^    ${packages[i]/#build-essential/g++-12}\b"
     done
 done
