--- a/scripts/buildfiles.sh
+++ b/scripts/buildfiles.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Prints every system file that the users' build uses: headers, libraries, modules of cmake and
+# Prints every system file that the deployed build uses: headers, libraries, modules of CMake and
 # pkg-config, and tools. Runs the `build` command of deploy/system.toml in a fresh checkout.
 # usage: buildfiles.sh
 set -euo pipefail
@@ -12,7 +12,7 @@
 mkdir "$checkout"
 git ls-files -z | xargs -0 cp --parents -t "$checkout"
 
-# Stands in for pkg-config and notes the files that it reads.
+# Wraps pkg-config and logs the files that it reads.
 cat >"$work/pkg-config" <<END
 #!/bin/sh
 /usr/bin/pkg-config --debug "\$@" >>"$work/pkg-config.log" 2>&1
@@ -28,27 +28,32 @@
     exit 1
 }
 
+# Headers, from the compiler's dependency files.
 headers() {
     ninja -C "$checkout/target" -t deps | sed -n 's/^    //p'
 }
 
+# Objects and libraries, from the linker's trace.
 linked_files() {
     grep '^/' "$work/build.log"
 }
 
-# The rules and the inputs of cmake, such as its modules and a compiler launcher.
+# Programs and inputs that build.ninja names, such as CMake modules and a compiler launcher.
 ninja_files() {
     tr ' "=:|;' '\n' <"$checkout/target/build.ninja" | sed 's/^-[IL]//' | grep '^/'
 }
 
+# Files that CMake found, from its cache.
 cached_files() {
     sed -n 's/^[^#/].*:FILEPATH=//p' "$checkout/target/CMakeCache.txt"
 }
 
+# Modules that pkg-config read.
 pkg_config_files() {
     grep -oE '/[^ ]+\.pc$' "$work/pkg-config.log"
 }
 
+# Programs that the build runs, with those that the compiler runs.
 tools() {
     local tool
     for tool in bash sh cmake ninja pkg-config as ld; do
--- a/scripts/checkpackages.sh
+++ b/scripts/checkpackages.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
 # Fails if the build uses a system file that a machine with only the listed packages lacks, or if
-# the list names a package that the build doesn't use. Needs no clean machine: what the list brings
-# is worked out from the package index, without recommended packages.
+# the list names a package that the build does not use. Needs no clean machine: the packages that the
+# list installs are resolved from the package index, without recommended packages.
 # usage: checkpackages.sh [--files FILE] [--manifest FILE] [--table]
-#   --files FILE     system files that the build uses, one a line; default: those of scripts/buildfiles.sh
-#   --manifest FILE  default: deploy/system.toml
-#   --table          also prints each file with its package
+#   --files FILE     system files that the build uses, one per line; default: the output of
+#                    scripts/buildfiles.sh
+#   --manifest FILE  file that lists the packages; default: deploy/system.toml
+#   --table          also print each file with its package
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/manifest.sh
@@ -28,23 +29,23 @@
     scripts/buildfiles.sh >"$files"
 fi
 
-# closure PACKAGE...: the packages that installing these on an empty machine brings.
+# closure PACKAGE...: prints the packages that an installation of these on an empty machine adds.
 closure() {
     apt-get -o Dir::State::status=/dev/null --no-install-recommends -s install "$@" \
         | sed -n 's/^Inst \([^ ]*\) .*/\1/p' | sort -u
 }
 
-# essential_packages: what each machine has from the start, so also this one.
+# essential_packages: prints the packages that every machine has, including this one.
 essential_packages() {
     dpkg-query -W -f '${Essential} ${Package}\n' | sed -n 's/^yes //p'
 }
 
-# merged: the paths as a system with merged /usr has them; the index of packages may lack the /usr.
+# merged: converts paths to those of a system with a merged /usr. dpkg may list them without /usr.
 merged() {
     sed -E 's#^/(lib|lib64|bin|sbin)/#/usr/\1/#'
 }
 
-# with_links: each path followed by the paths that it links to.
+# with_links: prints each path and the paths that it links to.
 with_links() {
     local path target
     while read -r path; do
@@ -56,7 +57,7 @@
     done | merged | sort -u
 }
 
-# owners: a line "PACKAGE PATH" for each path that a package owns.
+# owners: prints a line "PACKAGE PATH" for each path that a package owns.
 owners() {
     local paths
     mapfile -t paths
@@ -66,7 +67,7 @@
 }
 
 failures=0
-# report WHAT LINE...: counts and prints a failure if there are lines.
+# report WHAT LINE...: prints and counts a failure if there are lines.
 report() {
     local what=$1
     shift
@@ -80,7 +81,7 @@
 [ "${#listed[@]}" -gt 0 ] || { echo "checkpackages: $manifest lists no packages" >&2; exit 2; }
 mapfile -t essential < <(essential_packages)
 closure "${essential[@]}" build-essential >"$work/toolchain" || {
-    echo "checkpackages: the package index knows no build-essential: run apt-get update" >&2
+    echo "checkpackages: build-essential is not in the package index: run apt-get update" >&2
     exit 2
 }
 closure "${essential[@]}" "${listed[@]}" >"$work/available" || {
@@ -91,7 +92,7 @@
 owners <"$work/paths" >"$work/owned"
 cut -d' ' -f1 "$work/owned" | sort -u >"$work/used"
 
-# A link that update-alternatives made has no owner; what it leads to has.
+# A link of update-alternatives has no owner, but its target has one.
 mapfile -t lines < <(cut -d' ' -f2 "$work/owned" | sort -u | comm -13 - "$work/paths" \
     | while read -r path; do [ -L "$path" ] || printf '%s\n' "$path"; done)
 report "the build uses files that no package owns" "${lines[@]}"
@@ -99,10 +100,11 @@
 mapfile -t lines < <(comm -23 "$work/used" "$work/available" | while read -r package; do
     echo "$package ($(sed -n "s#^$package ##p" "$work/owned" | head -1))"
 done)
-report "the build uses packages that $manifest doesn't bring" "${lines[@]}"
+report "the build uses packages that $manifest does not install" "${lines[@]}"
 
-# Headers that the sources include, modules that CMakeLists.txt asks for and programs that the build
-# calls need their own package in the list: what another package depends on may change.
+# The packages of headers that the sources include, of modules that CMakeLists.txt requires and of
+# programs that the build runs must be listed themselves: the dependencies of other packages may
+# change.
 mapfile -t folders < <(c++ -xc++ -E -v /dev/null 2>&1 \
     | sed -n '/search starts here/,/^End of search/s#^ \(/.*\)#\1#p' | xargs -n 1 realpath -s)
 {
@@ -117,12 +119,12 @@
 mapfile -t lines < <(awk 'NR == FNR {direct[$1]; next} $2 in direct {print $1}' \
     "$work/direct" "$work/owned" | sort -u | comm -23 - "$work/toolchain" \
     | comm -23 - <(printf '%s\n' "${listed[@]}" | sort))
-report "the build uses packages itself that $manifest doesn't name" "${lines[@]}"
+report "the build directly uses packages that $manifest does not list" "${lines[@]}"
 
-# build-essential owns no files: it stands for the toolchain.
+# build-essential owns no files; it only depends on the toolchain.
 mapfile -t lines < <(printf '%s\n' "${listed[@]}" | grep -vx build-essential | sort \
     | comm -23 - "$work/used")
-report "$manifest lists packages that the build doesn't use" "${lines[@]}"
+report "$manifest lists packages that the build does not use" "${lines[@]}"
 
 [ -z "$table" ] || sort -k2 "$work/owned"
 echo "checkpackages: $(wc -l <"$files") files of $(wc -l <"$work/used") packages," \
--- a/scripts/install.sh
+++ b/scripts/install.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Installs what is missing of the packages that the build needs (deploy/system.toml) and of those
-# that only the tests, the linters and scripts/generate.sh need (scripts/packages.txt).
-# Recommended packages are left out, as on the users' machines.
+# Installs missing packages: those that the build needs (deploy/system.toml) and those that only the
+# tests, the linters and scripts/generate.sh need (scripts/packages.txt). Does not install recommended
+# packages, since the hosts of a deployment do not have them.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/manifest.sh
@@ -13,7 +13,7 @@
 done
 sudo=
 [ "$(id -u)" -eq 0 ] || sudo=sudo
-# scripts/checkpackages.sh reads the package index too.
+# The package index is also needed by scripts/checkpackages.sh.
 if [ "${#missing[@]}" -gt 0 ] || ! compgen -G '/var/lib/apt/lists/*_Packages*' >/dev/null; then
     $sudo apt-get update -q
 fi
