--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,21 +1,23 @@
-# Sourced by scripts that run real processes on this machine: starts the fleet of
-# examples/quickstart, waits until each process is ready, and stops by id all that it started.
+# Sourced by scripts that run real processes on this machine. Starts the fleet of
+# examples/quickstart, waits until each process is ready, and stops the started processes by their ids.
 
 FLEET_BUILD=${FLEET_BUILD:-build}
-# Settings and output of this run.
+# Folder of the settings and the output of this run.
 FLEET_DIR=$(mktemp -d)
-# A loopback address of this run's own, so that two runs at once don't meet.
+# Each run has its own loopback address, so that concurrent runs do not share ports.
 FLEET_IP=127.$((1 + ($$ >> 16) % 254)).$((($$ >> 8) & 255)).$(($$ & 255))
+# Process ids in the order of their start; the first FLEET_STANDINS ones are stand-ins.
 FLEET_PIDS=()
 FLEET_STANDINS=0
 
+# fleet_fail TEXT...: prints the text and the ends of the logs, and exits with 1.
 fleet_fail() {
     echo "failed: $*" >&2
     tail -n 20 "$FLEET_DIR"/*.log >&2 || true
     exit 1
 }
 
-# fleet_until WHAT COMMAND...: runs the command until it succeeds, for 20 s at most.
+# fleet_until WHAT COMMAND...: repeats the command until it succeeds; fails after 20 s.
 fleet_until() {
     local what=$1 end=$((SECONDS + 20))
     shift
@@ -25,8 +27,8 @@
     done
 }
 
-# fleet_start NAME PROGRAM ARGUMENT...: starts it in the background; output in NAME.out (a
-# router's spans), errors in NAME.log.
+# fleet_start NAME PROGRAM ARGUMENT...: starts the program in the background. Its output, such as the
+# spans of a router, goes to NAME.out and its errors to NAME.log.
 fleet_start() {
     local name=$1
     shift
@@ -42,13 +44,13 @@
     fleet_until "$name" grep -qx ready "$FLEET_DIR/$name.out"
 }
 
-# fleet_is_ready ADDRESS COUNT: whether that router takes work and knows COUNT live routers.
+# fleet_is_ready ADDRESS COUNT: whether the router is ready and knows COUNT live routers.
 fleet_is_ready() {
     curl -sf -o "$FLEET_DIR/readyz" "http://$1/readyz" \
         && [ "$(curl -sf "http://$1/v1/status" | jq .liveRouters)" = "$2" ]
 }
 
-# fleet_answers ADDRESS: whether that router knows the model servers, by a whole answer.
+# fleet_answers ADDRESS: whether the router knows the model servers and answers a request.
 fleet_answers() {
     curl -sf -o "$FLEET_DIR/answers" "http://$1/v1/chat/completions" \
         -H 'Authorization: Bearer example-key-dealer' -H 'X-Lagoonmast-Class: buyer-replies' \
@@ -57,7 +59,8 @@
              "messages":[{"role":"user","content":"Are you there?"}]}'
 }
 
-# fleet_up: the stand-ins and three routers of examples/quickstart.
+# fleet_up: starts the stand-ins and the three routers of examples/quickstart, and waits until they
+# answer.
 fleet_up() {
     local file i
     for file in examples/quickstart/*.json; do
@@ -78,7 +81,7 @@
     done
 }
 
-# fleet_path REQUEST: the spans of a request, as the routers recorded them.
+# fleet_path REQUEST: prints the spans of a request as the routers recorded them.
 fleet_path() {
     cat "$FLEET_DIR"/entry-*.out | jq -rs --arg request "$1" '
         map(select(.tags.request == $request))
@@ -87,7 +90,8 @@
         | join(" > ")'
 }
 
-# fleet_terminate PID...: SIGTERM to each, and waits for all; fails if one did not exit with 0.
+# fleet_terminate PID...: sends SIGTERM to each process and waits for all; fails if one does not exit
+# with 0.
 fleet_terminate() {
     local pid status=0
     for pid in "$@"; do
@@ -99,7 +103,7 @@
     return $status
 }
 
-# fleet_stop: ends the routers and then the stand-ins, which were started first.
+# fleet_stop: stops the routers and then the stand-ins.
 fleet_stop() {
     local status=0
     fleet_terminate "${FLEET_PIDS[@]:FLEET_STANDINS}" || status=1
@@ -108,7 +112,8 @@
     return $status
 }
 
-# fleet_cleanup: for a trap; ends by id what is still there and removes this run's files.
+# fleet_cleanup: kills the processes that still run, by their ids, and removes this run's files. Meant
+# for a trap.
 fleet_cleanup() {
     local pid
     for pid in "${FLEET_PIDS[@]}"; do
