--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Builds lagoonmast, starts a fleet of three routers with stand-ins for the platform and the
-# backend servers on this machine's loopback, and sends requests of both users' kinds. Prints each
-# answer and the way it took. Exits with 0 if all went as it should.
+# backend servers on the loopback of this machine, and sends example requests. Prints each answer and
+# the path of its request. Exits with 0 if every check passes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install.sh
@@ -11,7 +11,8 @@
 
 failures=0
 
-# show TITLE EXPECTED_STATUS ENTRY PATH CURL_ARGUMENT...
+# show TITLE EXPECTED_STATUS ENTRY PATH CURL_ARGUMENT...: sends a request, prints the answer and the
+# path of the request, and checks the status.
 show() {
     local title=$1 expected=$2 entry=$3 path=$4 status request
     shift 4
@@ -25,21 +26,22 @@
     if [ -n "$request" ]; then
         fleet_until "the spans of $request" grep -q "\"entry\".*\"$request\"" \
             "$FLEET_DIR/entry-$entry.out"
-        echo "-- way: $(fleet_path "$request")"
+        echo "-- path: $(fleet_path "$request")"
     fi
     expect "$title: status" "$status" "$expected"
 }
 
-# expect WHAT IS SHOULD_BE
+# expect WHAT ACTUAL EXPECTED: prints and counts a failure unless both values are equal.
 expect() {
     if [ "$2" = "$3" ]; then
-        echo "-- good: $1 $2"
+        echo "-- passed: $1 $2"
     else
-        echo "-- WRONG: $1 $2, expected $3"
+        echo "-- FAILED: $1 $2, expected $3"
         failures=$((failures + 1))
     fi
 }
 
+# operator ARGUMENT...: runs lagoonmast with these arguments and sets operator_status.
 operator() {
     local status=0
     echo "\$ lagoonmast $*"
@@ -56,12 +58,12 @@
 echo "Starting three routers on $FLEET_IP ..."
 fleet_up
 
-show "Which entry hosts to use, from the zone mission" 200 1 '/v1/entry-hosts?zone=mission'
+show "Entry hosts for a caller in the zone mission" 200 1 '/v1/entry-hosts?zone=mission'
 show "The Exchange: a streamed reply to a buyer" 200 1 /v1/chat/completions "${dealer[@]}" \
     -H 'X-Lagoonmast-Class: buyer-replies' -d '{"model":"condition-writer","stream":true,
     "max_tokens":4,"messages":[{"role":"user","content":"Is the blue pickup still for sale?"}]}'
 expect "the stream's end" "$(grep -c '^data: \[DONE\]' "$FLEET_DIR/body")" 1
-show "The Exchange: a condition summary, whole" 200 2 /v1/chat/completions "${dealer[@]}" \
+show "The Exchange: a condition summary that is not streamed" 200 2 /v1/chat/completions "${dealer[@]}" \
     -H 'X-Lagoonmast-Class: condition-summaries' -d '{"model":"condition-writer",
     "max_tokens":12,"messages":[{"role":"user","content":"Summarise the inspection of car 8."}]}'
 show "Convergência: a streamed answer to finance staff" 200 3 /v1/chat/completions \
@@ -72,11 +74,11 @@
     "${university[@]}" -H 'X-Lagoonmast-Class: finance-answers' -d '{"grant":3}'
 show "The Exchange: a deposit hold, not repeatable" 200 1 /v1/services/deposits/hold \
     "${dealer[@]}" "${hold[@]}" -d '{"car":8}'
-show "The same hold sent again to another router" 200 3 /v1/services/deposits/hold \
+show "The same hold, retried at another router" 200 3 /v1/services/deposits/hold \
     "${dealer[@]}" "${hold[@]}" -d '{"car":8}'
 expect "holds that ran at the application server:" "$(curl -s "http://$FLEET_IP:18741/journal" \
     | jq '[.requests[] | select(.path == "/hold")] | length')" 1
-show "A class that nobody created" 400 1 /v1/chat/completions "${dealer[@]}" \
+show "An unknown class" 400 1 /v1/chat/completions "${dealer[@]}" \
     -H 'X-Lagoonmast-Class: gold' -d '{"model":"condition-writer","messages":[]}'
 
 echo
@@ -87,13 +89,13 @@
     --if-match 6
 expect "exit status" "$operator_status" 0
 echo
-echo "== A second operator, who saw the old list, loses the race"
+echo "== A second operator, with an outdated version, is refused"
 operator targets set --address "$FLEET_IP:18712" --class buyer-replies --start-within-ms 300 \
     --if-match 6
 expect "exit status" "$operator_status" 1
 
 echo
-echo "Stopping (routers leave once the entry lists that they gave out have expired, about 15 s) ..."
+echo "Stopping (routers exit once their lists of entry hosts have expired, after about 15 s) ..."
 fleet_stop || failures=$((failures + 1))
-[ "$failures" -eq 0 ] || fleet_fail "$failures of the checks above"
-echo "All went as it should."
+[ "$failures" -eq 0 ] || fleet_fail "$failures checks, see above"
+echo "All checks passed."
