--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Makes the generated code of src/libs/wire anew from peer.proto.
+# Regenerates the code in src/libs/wire/generated from peer.proto.
 set -euo pipefail
 cd "$(dirname "$0")/../src/libs/wire"
 mkdir -p generated
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# clang-format and clang-tidy over the whole tree, generated code left out.
-# With --fix it formats in place. Needs a configured build/ for the compile commands.
+# Checks src, tests, tools and platform with clang-format and clang-tidy, except generated code. With
+# --fix it only formats the files in place. clang-tidy needs the compile commands of a configured
+# build/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t files < <(find src tests tools platform -name '*.cpp' -o -name '*.h' | grep -v /generated/ | sort)
