--- a/scripts/measuregateway.sh
+++ b/scripts/measuregateway.sh
@@ -1,16 +1,18 @@
 #!/usr/bin/env bash
-# Measures one gateway before stand-ins on this machine's loopback: processor time of a forwarded
-# request, of a streamed event and of an idle second, and its memory with a thousand open streams.
+# Measures one of three gateways with stand-ins as store and backend servers, on the loopback of this
+# machine: processor time per forwarded request, per streamed event and per idle second, and memory
+# with 1,000 open streams.
 # usage: measuregateway.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/.."
 FLEET_BUILD=$1
 ulimit -n 8192 2>/dev/null || true
 . tests/processes/deployment.sh
-# Lines of requests in the log, a second: 0 measures without them.
 MAX_CONNECTIONS=6000
 TOKENS_PER_S=0
+# Request lines in the log per second; 0 measures without them.
 LOG_LINES=${LOG_LINES:-150}
+# load TITLE ARGUMENT...: prints the title and runs gatewayload against gateway 1.
 load() {
     echo "== $1"
     shift
