--- a/cmake/lagoonmast.cmake
+++ b/cmake/lagoonmast.cmake
@@ -1,8 +1,9 @@
-# Warnings that every target of this project is built with.
+# Compiler warnings for every target of this project.
 add_library(lagoonmast_warnings INTERFACE)
 target_compile_options(lagoonmast_warnings INTERFACE -Wall -Wextra -Wpedantic -Werror)
 
-# lagoonmast_library(NAME [LINK target...]): a library from every .cpp in this folder.
+# lagoonmast_library(NAME [LINK target...]): adds a library of every .cpp file in the current folder, or
+# a header-only one if there is none.
 function(lagoonmast_library name)
     cmake_parse_arguments(ARG "" "" "LINK" ${ARGN})
     file(GLOB sources CONFIGURE_DEPENDS *.cpp)
@@ -17,9 +18,9 @@
     endif()
 endfunction()
 
-# lagoonmast_test(LIB [LINK target...] [LONG tag...]): one test program for the library LIB,
-# from every tst_*.cpp in this folder. Cases with a LONG tag simulate minutes each; they run as
-# a test of their own, with fewer cases.
+# lagoonmast_test(LIB [LINK target...] [LONG tag...]): adds a test program for the library LIB, of every
+# .cpp file in the current folder. Test cases with a LONG tag simulate minutes each; they run as a
+# separate test with 40 instead of 200 random cases per property.
 function(lagoonmast_test lib)
     cmake_parse_arguments(ARG "" "" "LINK;LONG" ${ARGN})
     file(GLOB sources CONFIGURE_DEPENDS *.cpp)
@@ -34,7 +35,7 @@
             ENVIRONMENT "RC_PARAMS=seed=20261 max_success=40" TIMEOUT 240)
     endforeach()
     add_test(NAME tst_${lib} COMMAND tst_${lib} "${without_long}")
-    # A fixed seed gives the same verdict on every run.
+    # A fixed seed makes every run use the same random cases.
     set_tests_properties(tst_${lib} PROPERTIES
         ENVIRONMENT "RC_PARAMS=seed=20261 max_success=200" TIMEOUT 240)
 endfunction()
