--- a/tests/standins/modelserverstandin/engine.cpp
+++ b/tests/standins/modelserverstandin/engine.cpp
@@ -193,8 +193,8 @@
 {
     const FaultPlan fault = m_faults->peek();
     const std::chrono::duration<double, std::milli> normalStep(m_policy.msPerToken);
-    const auto step = fault.mode == "slow" ? normalStep + fault.delay : normalStep;
-    return std::chrono::duration_cast<Clock::duration>(step);
+    const auto stepLength = fault.mode == "slow" ? normalStep + fault.delay : normalStep;
+    return std::chrono::duration_cast<Clock::duration>(stepLength);
 }
 
 } // namespace StandIn
