--- a/tests/golden/deployment.sh
+++ b/tests/golden/deployment.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Runs a session with two gateways, a row store and three backend servers. Prints the answers that
-# callers received and what the gateway logged. Fields that differ between runs are replaced by fixed
-# texts. The output must equal tests/golden/deployment.txt.
+# callers received and what the gateway logged. Fields that differ between runs are replaced by
+# fixed texts. The output must equal tests/golden/deployment.txt.
 # usage: deployment.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -51,6 +51,6 @@
 logged a7
 fault 19713 '{"mode":"error","count":1}'
 show "An error of the backend server" a8 /once/hold "${key[@]}" -d '{"car":10}'
-show "A malformed HTTP request" a9 /read/status "${key[@]}" -H 'Content-Length: 4' -H 'Transfer-Encoding: chunked' \
-    -d x
+show "A malformed HTTP request" a9 /read/status "${key[@]}" -H 'Content-Length: 4' \
+    -H 'Transfer-Encoding: chunked' -d x
 fleet_stop
--- a/tests/golden/failures.sh
+++ b/tests/golden/failures.sh
@@ -18,8 +18,8 @@
         "messages":[{"role":"user","content":"'"$3"'"}]}'
 }
 
-# count_complete TOKENS FILE...: prints how many of the files hold a complete answer: all tokens of one
-# prompt in order, the usage and one [DONE].
+# count_complete TOKENS FILE...: prints how many of the files hold a complete answer: all tokens of
+# one prompt in order, the usage and one [DONE].
 count_complete() {
     local tokens=$1 count=0 file
     shift
@@ -55,8 +55,8 @@
 curl -s -o "$FLEET_DIR/fault" "http://$FLEET_IP:18700/faults" -d '{"mode":"loseAnswers","count":1}'
 echo "claim whose answer is lost: status $(hold 1 lost), ran $(runs_of lost) time(s)"
 
-# The same hold is sent to three routers at once. Without a claim in a common table each of them would
-# run it.
+# The same hold is sent to three routers at once. Without a claim in a common table each of them
+# would run it.
 senders=()
 for entry in 1 2 3; do
     hold "$entry" same >"$FLEET_DIR/status-$entry" &
@@ -67,9 +67,9 @@
 [[ $answers =~ ^(200 )(409 )?$ ]] && answers="200, or 409 while it runs"
 echo "one hold at three routers at once: $answers; ran $(runs_of same) time(s)"
 
-# The home of the model's pool is killed, the router that queues its requests and grants permits to run
-# them. Callers of the other routers must not notice: running streams go on, and waiting requests are
-# queued at the next home.
+# The home of the model's pool is killed, the router that queues its requests and grants permits to
+# run them. Callers of the other routers must not notice: running streams go on, and waiting
+# requests are queued at the next home.
 chat 1 1 warm >"$FLEET_DIR/warm"
 request=$(jq -rs 'map(select(.name == "entry")) | last.tags.request' "$FLEET_DIR/entry-1.out")
 home=$(fleet_path "$request" | sed 's/.*queue@entry-\([0-9]\).*/\1/')
@@ -89,8 +89,9 @@
 wait "${streams[@]}" || echo "a stream was broken off"
 echo "home killed under 24 streams: $(count_complete 60 "$FLEET_DIR"/stream-*) whole"
 
-# A router is told to shut down while it streams an answer of 19 s, which is longer than a list of entry
-# hosts is valid. The caller must get the complete answer, and callers with an old list must be served.
+# A router is told to shut down while it streams an answer of 19 s, which is longer than a list of
+# entry hosts is valid. The caller must get the complete answer, and callers with an old list must
+# be served.
 leaving=${others[0]} staying=${others[1]}
 chat "$leaving" 3800 long >"$FLEET_DIR/long" &
 long=$!
@@ -109,7 +110,8 @@
 wait "$long" || echo "the long stream was broken off"
 echo "its long stream: $(count_complete 3800 "$FLEET_DIR/long") whole; exit status $status"
 
-# A model server is marked as leaving. Once the pool's home knows that, the server must get no new work.
+# A model server is marked as leaving. Once the pool's home knows that, the server must get no new
+# work.
 curl -s -o "$FLEET_DIR/hosts" -X PUT "http://$FLEET_IP:18700/hosts/model-1/state" \
     -d '{"state":"leaving"}'
 has_left() {
--- a/tests/golden/session.sh
+++ b/tests/golden/session.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs a session with the fleet of examples/quickstart and prints what callers and operators received.
-# Fields that differ between runs (addresses, request ids, the selected server) are replaced by fixed
-# texts. The output must equal tests/golden/session.txt.
+# Runs a session with the fleet of examples/quickstart and prints what callers and operators
+# received. Fields that differ between runs (addresses, request ids, the selected server) are
+# replaced by fixed texts. The output must equal tests/golden/session.txt.
 # usage: session.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
--- a/tests/packages/listgap.sh
+++ b/tests/packages/listgap.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # Guards against a list of packages that suffices only on machines with further packages installed.
-# scripts/checkpackages.sh must reject a list that lacks a package, a list with an unused package, and
-# a used file that no package owns. files.txt has a file of each listed package that the build uses.
+# scripts/checkpackages.sh must reject a list that lacks a package, a list with an unused package,
+# and a used file that no package owns. files.txt has a file of each listed package that the build
+# uses.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 . scripts/manifest.sh
--- a/tests/processes/common.sh
+++ b/tests/processes/common.sh
@@ -22,7 +22,8 @@
 
 # fault PORT JSON: sets the fault of a stand-in.
 fault() {
-    curl -sf -o "$FLEET_DIR/fault" "http://$FLEET_IP:$1/faults" -d "$2" || fleet_fail "the fault was not set: $*"
+    curl -sf -o "$FLEET_DIR/fault" "http://$FLEET_IP:$1/faults" -d "$2" \
+        || fleet_fail "the fault was not set: $*"
 }
 
 # start_stream NAME ENTRY TOKENS: requests a streamed answer in the background and writes it to
@@ -50,8 +51,8 @@
     grep -qx 'data: \[DONE\]' <(tr -d '\r' <"$FLEET_DIR/$1.sse")
 }
 
-# check_stream NAME TOKENS: fails unless the stream has every token of one answer once, in order, and
-# [DONE].
+# check_stream NAME TOKENS: fails unless the stream has every token of one answer once, in order,
+# and [DONE].
 check_stream() {
     local text
     has_end "$1" || fleet_fail "stream $1 ended after $(stream_tokens "$1") tokens without [DONE]"
@@ -78,8 +79,8 @@
     [ "$(status_of "$1" /readyz)" = 503 ]
 }
 
-# hold ENTRY KEY: requests a deposit hold, which may not be repeated. Prints its status and writes the
-# body to KEY.answer.
+# hold ENTRY KEY: requests a deposit hold, which may not be repeated. Prints its status and writes
+# the body to KEY.answer.
 hold() {
     curl -s --max-time 20 -o "$FLEET_DIR/$2.answer" -w '%{http_code}' "${dealer[@]}" \
         -H 'X-Lagoonmast-Repeatable: no' -H "Idempotency-Key: $2" \
--- a/tests/processes/deployment.sh
+++ b/tests/processes/deployment.sh
@@ -10,12 +10,14 @@
 # put TABLE KEY JSON: writes a row as an operator or a server does; null removes it.
 put() {
     curl -sf -o "$FLEET_DIR/put" "http://$FLEET_IP:$STORE/put" \
-        -d '{"table":"'"$1"'","part":"","key":"'"$2"'","value":'"$3"'}' || fleet_fail "the row was not written: $1 $2"
+        -d '{"table":"'"$1"'","part":"","key":"'"$2"'","value":'"$3"'}' \
+        || fleet_fail "the row was not written: $1 $2"
 }
 
 # fault PORT JSON: sets the fault of a stand-in.
 fault() {
-    curl -sf -o "$FLEET_DIR/fault" "http://$FLEET_IP:$1/faults" -d "$2" || fleet_fail "the fault was not set: $*"
+    curl -sf -o "$FLEET_DIR/fault" "http://$FLEET_IP:$1/faults" -d "$2" \
+        || fleet_fail "the fault was not set: $*"
 }
 
 # route NAME KIND SERVICE EXTRA: prints a route of the configuration, with the prefix /NAME/.
@@ -25,7 +27,8 @@
         "maxAttempts":3,"priority":1,"anonymous":false'"$4"'}'
 }
 
-# configure VERSION KEYS: writes the configuration. KEYS is a JSON list, the keys of the only customer.
+# configure VERSION KEYS: writes the configuration. KEYS is a JSON list, the keys of the only
+# customer.
 configure() {
     put op config '{"version":'"$1"',"routeTable":['"$(route stream streaming pool \
         ',"streamResume":true')"','"$(route once unsafe app '')"','"$(route read safe app '')"'],
@@ -69,8 +72,8 @@
         | jq '.addresses | length')" = "$2" ]
 }
 
-# call N PATH CURL_ARGUMENT...: sends a request to gateway N. Prints the status and writes the body to
-# $FLEET_DIR/body.
+# call N PATH CURL_ARGUMENT...: sends a request to gateway N. Prints the status and writes the body
+# to $FLEET_DIR/body.
 call() {
     local gateway=$1 path=$2
     shift 2
--- a/tests/processes/gatewayexplain.sh
+++ b/tests/processes/gatewayexplain.sh
@@ -21,14 +21,16 @@
 
 # explain ID: writes the explanation of the request to $FLEET_DIR/explanation.
 explain() {
-    "$FLEET_BUILD/src/app/lagoonmast" explain "$1" "$FLEET_DIR"/gateway-*.out >"$FLEET_DIR/explanation"
+    "$FLEET_BUILD/src/app/lagoonmast" explain "$1" "$FLEET_DIR"/gateway-*.out \
+        >"$FLEET_DIR/explanation"
 }
 
 # explained ID PATTERN...: fails unless the explanation of the request has a line for each pattern.
 explained() {
     local id=$1
     shift
-    fleet_until "the end of $id in the log" eval "explain $id && grep -q request.end $FLEET_DIR/explanation"
+    fleet_until "the end of $id in the log" \
+        eval "explain $id && grep -q request.end $FLEET_DIR/explanation"
     for pattern in "$@"; do
         grep -Eq "$pattern" "$FLEET_DIR/explanation" \
             || fleet_fail "$id is not explained by $pattern: $(cat "$FLEET_DIR/explanation")"
--- a/tests/processes/gatewaykeys.sh
+++ b/tests/processes/gatewaykeys.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Guards against the use of a revoked key. A customer's key is revoked while the store answers, while
-# it is silent, and while a gateway is suspended. A gateway must not accept the key longer than its
-# settings allow. A gateway that cannot know the current keys must not refuse a key as unknown: it
-# answers that it is not ready and when to retry.
+# Guards against the use of a revoked key. A customer's key is revoked while the store answers,
+# while it is silent, and while a gateway is suspended. A gateway must not accept the key longer
+# than its settings allow. A gateway that cannot know the current keys must not refuse a key as
+# unknown: it answers that it is not ready and when to retry.
 # usage: gatewaykeys.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -26,10 +26,12 @@
 expect "a call with the key that is still valid" "$(call 1 /read/second)" 200
 
 # The store falls silent: its connection stays open but carries nothing. The gateway cannot know
-# whether the key is still valid and stops accepting it when its lease ends; the request does not run.
+# whether the key is still valid and stops accepting it when its lease ends; the request does not
+# run.
 fault $STORE '{"mode":"silent"}'
 fleet_until "the end of the lease" answers 1 /read/third 503
-grep -q '"type":"not_ready"' "$FLEET_DIR/body" || fleet_fail "not the error not_ready: $(cat "$FLEET_DIR/body")"
+grep -q '"type":"not_ready"' "$FLEET_DIR/body" \
+    || fleet_fail "not the error not_ready: $(cat "$FLEET_DIR/body")"
 grep -qi '^Retry-After:' "$FLEET_DIR/head" || fleet_fail "no Retry-After"
 before=$(runs_of /read/third)
 expect "a second call after the end of the lease" "$(call 1 /read/third)" 503
--- a/tests/processes/gatewayreload.sh
+++ b/tests/processes/gatewayreload.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # The settings file of a running gateway changes without a signal, then with one, and then into a
-# file that is malformed. The gateway must apply the valid changes, keep the last valid settings when
-# the file is malformed, and serve callers throughout.
+# file that is malformed. The gateway must apply the valid changes, keep the last valid settings
+# when the file is malformed, and serve callers throughout.
 # usage: gatewayreload.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
--- a/tests/processes/gatewayserverfails.sh
+++ b/tests/processes/gatewayserverfails.sh
@@ -9,8 +9,8 @@
 . tests/processes/deployment.sh
 deployment_up
 
-# The server of a stream crashes in the middle of an event. The other server continues the same answer
-# after the last complete event.
+# The server of a stream crashes in the middle of an event. The other server continues the same
+# answer after the last complete event.
 for port in 19711 19712; do
     fault $port '{"mode":"cut","afterEvents":3,"count":1}'
 done
@@ -32,19 +32,21 @@
 # The only application server is full. The request has not run, and the answer says so.
 fault 19713 '{"mode":"refuse"}'
 expect "a call at a full server" "$(call 1 /once/refused -d x)" 503
-grep -q '"ran":"no"' "$FLEET_DIR/body" || fleet_fail "the answer does not say that the call has not run: $(cat "$FLEET_DIR/body")"
+grep -q '"ran":"no"' "$FLEET_DIR/body" \
+    || fleet_fail "the answer does not say that the call has not run: $(cat "$FLEET_DIR/body")"
 expect "runs of it" "$(runs_of /once/refused)" 0
 fault 19713 '{"mode":"none"}'
 
-# The answer to a call that runs at most once is lost. The call is not sent again, and the answer says
-# that it may have run.
+# The answer to a call that runs at most once is lost. The call is not sent again, and the answer
+# says that it may have run.
 fault 19713 '{"mode":"cut","count":1}'
 expect "a call whose answer was lost" "$(call 1 /once/lost -d x)" 502
-grep -q '"ran":"unknown"' "$FLEET_DIR/body" || fleet_fail "the answer does not say that the call may have run: $(cat "$FLEET_DIR/body")"
+grep -q '"ran":"unknown"' "$FLEET_DIR/body" \
+    || fleet_fail "the answer does not say that the call may have run: $(cat "$FLEET_DIR/body")"
 expect "runs of it" "$(runs_of /once/lost)" 1
 
-# The gateway skips an answer to another request and waits for the right one up to the route's timeout.
-# It does not pass on an answer without the server's stamp.
+# The gateway skips an answer to another request and waits for the right one up to the route's
+# timeout. It does not pass on an answer without the server's stamp.
 fault 19713 '{"mode":"crossed","count":1}'
 expect "an answer to another request" "$(call 1 /once/crossed -d x)" 504
 fault 19713 '{"mode":"unsigned","count":1}'
--- a/tests/processes/gatewaystore.sh
+++ b/tests/processes/gatewaystore.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The store has lost its history of changes, then loses answers, then is down and returns without the
-# servers' entries. Callers must be served throughout, and accepted changes must take effect.
+# The store has lost its history of changes, then loses answers, then is down and returns without
+# the servers' entries. Callers must be served throughout, and accepted changes must take effect.
 # usage: gatewaystore.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
--- a/tests/processes/homelost.sh
+++ b/tests/processes/homelost.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
 # Guards against deposit holds that run twice, or never, when a pool's home router is lost. The home
 # is the router that queues the pool's requests and grants their permits to run. Holds arrive at the
-# two other routers faster than the application server runs them, so they wait at the home, which then
-# dies (SIGKILL) or freezes (SIGSTOP). A hold that the lost home has dispatched and that the new home
-# dispatches again would run twice, also after the old home resumes. Every caller must get an answer.
+# two other routers faster than the application server runs them, so they wait at the home, which
+# then dies (SIGKILL) or freezes (SIGSTOP). A hold that the lost home has dispatched and that the
+# new home dispatches again would run twice, also after the old home resumes. Every caller must get
+# an answer.
 # usage: homelost.sh BUILD_FOLDER KILL|STOP
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -68,7 +69,8 @@
         fleet_until "all three routers at entry-$entry" fleet_is_ready "$FLEET_IP:1871$entry" 3
     done
     # Once the resumed router has served a new call, it has finished its earlier work.
-    [ "$(hold "$home" woken)" = 200 ] || fleet_fail "hold at the resumed router: $(cat "$FLEET_DIR/woken.answer")"
+    [ "$(hold "$home" woken)" = 200 ] \
+        || fleet_fail "hold at the resumed router: $(cat "$FLEET_DIR/woken.answer")"
     [ "$(runs_of woken)" = 1 ] || fleet_fail "the hold at the resumed router did not run once"
     all_ran_once
 fi
--- a/tests/processes/modelserverkilled.sh
+++ b/tests/processes/modelserverkilled.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Guards against mixed or falsely complete answers. A model server is killed (SIGKILL) while some
-# callers read streams from it and others wait for their first part. No other server has the rest of a
-# started stream, so the stream must end with an error event and never with [DONE]; a restart in the
-# middle would mix two answers. A request without a part so far is served by the other server.
+# callers read streams from it and others wait for their first part. No other server has the rest of
+# a started stream, so the stream must end with an error event and never with [DONE]; a restart in
+# the middle would mix two answers. A request without a part so far is served by the other server.
 # usage: modelserverkilled.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -74,4 +74,5 @@
     fleet_answers "$FLEET_IP:1871$entry" \
         || fleet_fail "entry-$entry does not serve with model-$survivor"
 done
-echo "model-$killed killed: $whole streams complete, $cut with an error event, new requests complete"
+echo "model-$killed killed: $whole streams complete, $cut with an error event;" \
+    "new requests complete"
--- a/tests/processes/platformdown.sh
+++ b/tests/processes/platformdown.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# The platform is down for a while. Streamed answers must go on. A deposit hold cannot be claimed, that
-# is, its key cannot be recorded before the hold runs, so its caller must be told at once that it has
-# not run and when to retry. Then the platform executes the write of a claim but loses the answer: a
-# router that treats this as a refusal would block the key for its own caller, one that starts again
-# would run the hold twice.
+# The platform is down for a while. Streamed answers must go on. A deposit hold cannot be claimed,
+# that is, its key cannot be recorded before the hold runs, so its caller must be told at once that
+# it has not run and when to retry. Then the platform executes the write of a claim but loses the
+# answer: a router that treats this as a refusal would block the key for its own caller, one that
+# starts again would run the hold twice.
 # usage: platformdown.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -33,7 +33,8 @@
         [ "$(jq -r .error.ran "$FLEET_DIR/refused")" = no ] \
             || fleet_fail "hold: $(cat "$FLEET_DIR/refused")"
         grep -qiE '^Retry-After: [1-9][0-9]*' "$FLEET_DIR/head" || fleet_fail "no Retry-After"
-        [ "$(runs_of "refused-$name")" = 0 ] || fleet_fail "the answer says not run, but the journal has the hold"
+        [ "$(runs_of "refused-$name")" = 0 ] \
+            || fleet_fail "the answer says not run, but the journal has the hold"
         [ "$(targets_of "$entry")" = "$before" ] || fleet_fail "targets: $(targets_of "$entry")"
     done
 done
@@ -57,8 +58,8 @@
 is_lost_held() {
     [ "$(hold "$1" "$key")" = 200 ]
 }
-# A router refuses claims without a write for a while after failures of the table. Such an attempt says
-# nothing about a lost answer, so it is checked as a refusal and repeated.
+# A router refuses claims without a write for a while after failures of the table. Such an attempt
+# says nothing about a lost answer, so it is checked as a refusal and repeated.
 is_claiming() {
     [ "$(hold 1 "ready-$i")" = 200 ]
 }
@@ -79,7 +80,8 @@
     wait "$lost_caller" || true
     case "$(cat "$FLEET_DIR/$key.status") $(jq -r '.error.ran // "-"' "$FLEET_DIR/$key.answer")" in
     "200 -") lost=$((lost + 1)) ;;
-    "503 no") [ "$(runs_of "$key")" = 0 ] || fleet_fail "$key: the answer says not run, but the journal has it" ;;
+    "503 no") [ "$(runs_of "$key")" = 0 ] \
+        || fleet_fail "$key: the answer says not run, but the journal has it" ;;
     *) fleet_fail "$key: $(cat "$FLEET_DIR/$key.status" "$FLEET_DIR/$key.answer")" ;;
     esac
     fleet_until "the answer of $key at entry-2" is_lost_held 2
--- a/tests/processes/routerkilled.sh
+++ b/tests/processes/routerkilled.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# A router is killed (SIGKILL) while it forwards a stream to one caller and waits for another caller's
-# deposit hold. The reader of the stream must be able to tell that the answer is incomplete. The other
-# caller gets no answer and retries with the same key at another router. If the key were free there,
-# the deposit would be held twice, since the application server still runs the first call.
+# A router is killed (SIGKILL) while it forwards a stream to one caller and waits for another
+# caller's deposit hold. The reader of the stream must be able to tell that the answer is
+# incomplete. The other caller gets no answer and retries with the same key at another router. If
+# the key were free there, the deposit would be held twice, since the application server still runs
+# the first call.
 # usage: routerkilled.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
--- a/tests/processes/serverleaving.sh
+++ b/tests/processes/serverleaving.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Guards against broken answers when a model server leaves. An operator marks the server as leaving and
-# switches it off once its work is done. Routers must send no new work there after the mark, and work
-# that runs there already must be completed.
+# Guards against broken answers when a model server leaves. An operator marks the server as leaving
+# and switches it off once its work is done. Routers must send no new work there after the mark, and
+# work that runs there already must be completed.
 # usage: serverleaving.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -26,8 +26,8 @@
 curl -sf -X PUT "http://$FLEET_IP:18700/hosts/model-1/state" -d '{"state":"leaving"}' \
     -o "$FLEET_DIR/state" || fleet_fail "the state was not changed"
 
-# Each of the three routers polls the list once a second, so ten reads take a few seconds and include
-# reads of every router.
+# Each of the three routers polls the list once a second, so ten reads take a few seconds and
+# include reads of every router.
 reads() {
     curl -sf "http://$FLEET_IP:18700/counts" | jq .hostReads
 }
--- a/tests/soak/soak.sh
+++ b/tests/soak/soak.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
 # Runs three gateways, a store and four backend servers as processes. Callers send requests all the
-# time while faults are injected from outside: signals, restarts, a faulty proxy before the store and
-# the servers, revoked and restored keys, servers that leave or restart under their id, and entries
-# that no server wrote. At the end, the answers that callers received and the requests that servers
-# ran are checked against every guarantee. SEED determines the run except for the timing of processes.
+# time while faults are injected from outside: signals, restarts, a faulty proxy before the store
+# and the servers, revoked and restored keys, servers that leave or restart under their id, and
+# entries that no server wrote. At the end, the answers that callers received and the requests that
+# servers ran are checked against every guarantee. SEED determines the run except for the timing of
+# processes.
 # usage: soak.sh BUILD_FOLDER SEED SECONDS
 set -euo pipefail
 cd "$(dirname "$0")/../.."
@@ -39,7 +40,8 @@
 now_ms() { date +%s%3N; }
 log_fault() { echo "$(now_ms) $*" >>"$FLEET_DIR/faults"; }
 
-# start_server SLOT SERVICE [ID]: starts the server at port 1971SLOT, under a new id if none is given.
+# start_server SLOT SERVICE [ID]: starts the server at port 1971SLOT, under a new id if none is
+# given.
 start_server() {
     local slot=$1 id=${3:-i-$next_id}
     next_id=$((next_id + 1))
@@ -89,7 +91,8 @@
         start_gateway "$gateway" ;;
     1) log_fault "stop gateway $gateway"
         kill -TERM "${GATEWAYS[$gateway]}" 2>/dev/null || true
-        wait "${GATEWAYS[$gateway]}" || echo "gateway $gateway exited with status $?" >>"$FLEET_DIR/violations"
+        wait "${GATEWAYS[$gateway]}" \
+            || echo "gateway $gateway exited with status $?" >>"$FLEET_DIR/violations"
         start_gateway "$gateway" ;;
     2) log_fault "suspend gateway $gateway for $length s"
         kill -STOP "${GATEWAYS[$gateway]}"
@@ -169,7 +172,8 @@
 kill $callers
 wait $callers
 for i in 1 2 3; do
-    kill -TERM "${GATEWAYS[$i]}" || echo "gateway $i exited before it was stopped" >>"$FLEET_DIR/violations"
+    kill -TERM "${GATEWAYS[$i]}" \
+        || echo "gateway $i exited before it was stopped" >>"$FLEET_DIR/violations"
     wait "${GATEWAYS[$i]}" || echo "gateway $i exited with status $?" >>"$FLEET_DIR/violations"
 done
 for slot in 1 2 3 4; do remove_server $slot; done
@@ -181,19 +185,22 @@
         requests++
         if ($6 ~ /^bad/) print "a wrong or incomplete answer:", $0
         if ($2 == "once" && runs[$1] > 1) print "ran", runs[$1], "times:", $0
-        if ($2 == "once" && $5 ~ /^(503|429|401|404)$/ && runs[$1] > 0) print "ran although it was refused:", $0
+        if ($2 == "once" && $5 ~ /^(503|429|401|404)$/ && runs[$1] > 0)
+            print "ran although it was refused:", $0
         if ($3 == "key-1" && $5 == "401") print "a valid key was refused:", $0
         if ($5 == "404") print "a route was not found:", $0
         if ($3 == "key-2" && runs[$1] > 0) {
             last = 0
             for (i = 1; i <= n; i++) if (at[i] <= $4) last = i
-            if (last > 0 && !has[last] && $4 - at[last] > allowed) print "a revoked key was used:", $0
+            if (last > 0 && !has[last] && $4 - at[last] > allowed)
+                print "a revoked key was used:", $0
         }
         if ($4 > recovered) { total++; if ($6 == "served") served++ }
     }
     END {
         if (requests < 20) print "only", requests, "requests"
-        if (served < 0.9 * total) print "only", served, "of", total, "served after the faults were removed"
+        if (served < 0.9 * total)
+            print "only", served, "of", total, "served after the faults were removed"
         print requests, "requests,", served "/" total, "served at the end" >"/dev/stderr"
     }' "$FLEET_DIR/faults" "$FLEET_DIR/runs" "$FLEET_DIR/requests" >>"$FLEET_DIR/violations"
 if [ -s "$FLEET_DIR/violations" ]; then
