--- a/examples/embedding/main.cpp
+++ b/examples/embedding/main.cpp
@@ -17,7 +17,7 @@
 
 /// Implements every interface through which a node reaches the outside. It prints the answers to
 /// callers, and keeps messages, backend requests and outcomes of the table for settle() and main().
-class Outside final : public Node::CallerPort,
+class Outside final : public Node::CallerSink,
                       public Node::PeerTransport,
                       public Node::BackendClient,
                       public Storage::TableService,
--- a/src/app/nodemetrics.cpp
+++ b/src/app/nodemetrics.cpp
@@ -133,7 +133,7 @@
     m_retries->increment();
 }
 
-void NodeMetrics::nodeChanged(const Node::Node &node)
+void NodeMetrics::sampleNode(const Node::Node &node)
 {
     const Node::NodeStatus status = node.status();
     m_ready->set(status.isReady ? 1 : 0);
@@ -142,7 +142,7 @@
     m_liveRouters->set(static_cast<double>(status.liveRouters));
     m_openRequests->set(static_cast<double>(status.openRequests));
     updateHomes(node);
-    m_homes->nodeChanged(node);
+    m_homes->sampleNode(node);
 }
 
 void NodeMetrics::updateHomes(const Node::Node &node)
--- a/src/app/nodemetrics.h
+++ b/src/app/nodemetrics.h
@@ -17,7 +17,7 @@
 ///
 /// Some metrics have one value per home. A home is the router that queues the requests of one shard
 /// of a pool, and grants them permits to use a backend server.
-class NodeMetrics final : public Node::NodeObserver, public Daemon::NodeWatcher
+class NodeMetrics final : public Node::NodeObserver, public Daemon::NodeSampler
 {
 public:
     /// Registers the metrics in \a registry, which must outlive the result. Fails with the errors
@@ -27,7 +27,7 @@
     void hopFinished(const Node::HopRecord &record) override;
     void requestFinished(const Node::RequestRecord &record) override;
     void retried(const Base::RequestKey &request) override;
-    void nodeChanged(const Node::Node &node) override;
+    void sampleNode(const Node::Node &node) override;
 
 private:
     NodeMetrics() = default;
--- a/src/app/reports.cpp
+++ b/src/app/reports.cpp
@@ -81,7 +81,7 @@
     return {};
 }
 
-Daemon::DaemonReports Reports::daemonReports()
+Daemon::DaemonInstrumentation Reports::daemonReports()
 {
     return {*this, *m_metrics, *this};
 }
--- a/src/app/reports.h
+++ b/src/app/reports.h
@@ -26,7 +26,7 @@
                                                          std::uint64_t seed);
 
     /// Returns the reports for Daemon::create(). This object must outlive the daemon.
-    Daemon::DaemonReports daemonReports();
+    Daemon::DaemonInstrumentation daemonReports();
     /// Adds the control traffic of \a daemon to the metrics. \a daemon is accessed only while a
     /// metrics page is rendered, which the daemon itself serves.
     Base::Result<void> addTrafficMetrics(const Daemon::Daemon &daemon);
--- a/src/libs/claims/claimpolicy.h
+++ b/src/libs/claims/claimpolicy.h
@@ -15,7 +15,7 @@
     CompletedUnstored, ///< The work ran before; its answer is too large or not UTF-8.
     InProgress,        ///< Another request owns the key, and its work may be running.
     Conflict,          ///< The key was used for different content.
-    Undecidable,       ///< The work may have run, but its owner is gone: "ran: unknown".
+    Indeterminate,     ///< The work may have run, but its owner is gone: "ran: unknown".
     Unavailable,       ///< The claim could not be made; this request ran nothing.
 };
 
--- a/src/libs/claims/claimrows.cpp
+++ b/src/libs/claims/claimprocessor.cpp
@@ -1,4 +1,4 @@
-#include "claims/claimrows.h"
+#include "claims/claimprocessor.h"
 
 #include <algorithm>
 
--- a/src/libs/claims/claimbook.cpp
+++ b/src/libs/claims/claimregistry.cpp
@@ -1,30 +1,29 @@
-#include "claims/claimbook.h"
+#include "claims/claimregistry.h"
 
 namespace Claims {
 
-Base::Result<ClaimBook> ClaimBook::create(const ClaimPolicy &policy, const Base::HostId &self,
-                                          Base::Incarnation incarnation,
-                                          Storage::TableService &table,
-                                          Storage::OperationIds &operations,
-                                          Base::RandomSource &random)
+Base::Result<ClaimRegistry>
+ClaimRegistry::create(const ClaimPolicy &policy, const Base::HostId &self,
+                      Base::Incarnation incarnation, Storage::TableService &table,
+                      Storage::OperationIds &operations, Base::RandomSource &random)
 {
     const bool isTimed = policy.lease > policy.decisionTimeout && policy.retention >= policy.lease
                          && policy.firstPause > Base::Duration::zero();
     if (!isTimed || policy.writer.largestBatch == 0 || policy.writer.largestInFlight == 0
         || policy.largestReads == 0)
         return boost::leaf::new_error(UnusableClaimPolicy{});
-    return ClaimBook(policy, self, incarnation, table, operations, random);
+    return ClaimRegistry(policy, self, incarnation, table, operations, random);
 }
 
-ClaimBook::ClaimBook(const ClaimPolicy &policy, const Base::HostId &self,
-                     Base::Incarnation incarnation, Storage::TableService &table,
-                     Storage::OperationIds &operations, Base::RandomSource &random)
+ClaimRegistry::ClaimRegistry(const ClaimPolicy &policy, const Base::HostId &self,
+                             Base::Incarnation incarnation, Storage::TableService &table,
+                             Storage::OperationIds &operations, Base::RandomSource &random)
     : m_policy(policy)
     , m_processor(policy, self, incarnation, table, operations, random)
 {}
 
-void ClaimBook::claim(const Base::RequestKey &request, const ClaimSubject &subject,
-                      Base::TimePoint now, Base::WallTime wallNow)
+void ClaimRegistry::claim(const Base::RequestKey &request, const ClaimSubject &subject,
+                          Base::TimePoint now, Base::WallTime wallNow)
 {
     if (m_byRequest.contains(request))
         return;
@@ -51,45 +50,45 @@
     ++m_undecidedPerCustomer[subject.customer];
 }
 
-bool ClaimBook::maySend(const Base::RequestKey &request, Base::TimePoint now) const
+bool ClaimRegistry::maySend(const Base::RequestKey &request, Base::TimePoint now) const
 {
     const auto it = m_byRequest.find(request);
     return it != m_byRequest.end() && m_processor.isHeld(it->second, now);
 }
 
-void ClaimBook::complete(const Base::RequestKey &request, const std::string &answer,
-                         Base::TimePoint now)
+void ClaimRegistry::complete(const Base::RequestKey &request, const std::string &answer,
+                             Base::TimePoint now)
 {
     if (const std::optional<ClaimId> id = detach(request))
         m_processor.complete(*id, answer, now);
 }
 
-void ClaimBook::release(const Base::RequestKey &request, Base::TimePoint now)
+void ClaimRegistry::release(const Base::RequestKey &request, Base::TimePoint now)
 {
     if (const std::optional<ClaimId> id = detach(request))
         m_processor.release(*id, now);
 }
 
-void ClaimBook::abandon(const Base::RequestKey &request)
+void ClaimRegistry::abandon(const Base::RequestKey &request)
 {
     if (const std::optional<ClaimId> id = detach(request))
         m_processor.abandon(*id);
 }
 
-void ClaimBook::advance(Base::TimePoint now)
+void ClaimRegistry::advance(Base::TimePoint now)
 {
     m_processor.advance(now);
     collectDecisions();
 }
 
-bool ClaimBook::handle(const Storage::TableOutcome &outcome, Base::TimePoint now)
+bool ClaimRegistry::handle(const Storage::TableOutcome &outcome, Base::TimePoint now)
 {
     const bool isOwn = m_processor.handle(outcome, now);
     collectDecisions();
     return isOwn;
 }
 
-std::optional<ClaimId> ClaimBook::detach(const Base::RequestKey &request)
+std::optional<ClaimId> ClaimRegistry::detach(const Base::RequestKey &request)
 {
     const auto it = m_byRequest.find(request);
     if (it == m_byRequest.end())
@@ -103,14 +102,14 @@
     return id;
 }
 
-ClaimVerdict ClaimBook::verdictForDuplicate(const ActiveKey &active, std::uint64_t contentHash)
+ClaimVerdict ClaimRegistry::verdictForDuplicate(const ActiveKey &active, std::uint64_t contentHash)
 {
     // While the first request's claim is undecided, it is unknown which content the key belongs to.
     const bool isConflict = active.isOwned && active.contentHash != contentHash;
     return isConflict ? ClaimVerdict::Conflict : ClaimVerdict::InProgress;
 }
 
-void ClaimBook::removeUndecided(ClaimId id)
+void ClaimRegistry::removeUndecided(ClaimId id)
 {
     const auto it = m_undecided.find(id);
     if (it == m_undecided.end())
@@ -121,7 +120,7 @@
     m_undecided.erase(it);
 }
 
-void ClaimBook::collectDecisions()
+void ClaimRegistry::collectDecisions()
 {
     for (const ClaimDecision &it : m_processor.takeDecisions()) {
         const auto found = m_requests.find(it.claim);
--- a/src/libs/claims/claimbook.h
+++ b/src/libs/claims/claimregistry.h
@@ -5,8 +5,8 @@
 #include "base/result.h"
 #include "base/time.h"
 #include "claims/claimpolicy.h"
+#include "claims/claimprocessor.h"
 #include "claims/claimrow.h"
-#include "claims/claimrows.h"
 #include "storage/operationids.h"
 #include "storage/tableservice.h"
 
@@ -53,15 +53,15 @@
 ///   with the first answer of the table.
 /// - A flood by one customer: its undecided claims are limited, and the rows of its repeats are
 ///   read, not written.
-class ClaimBook
+class ClaimRegistry
 {
 public:
     /// Fails with UnusableClaimPolicy. The references must outlive the object.
-    static Base::Result<ClaimBook> create(const ClaimPolicy &policy, const Base::HostId &self,
-                                          Base::Incarnation incarnation,
-                                          Storage::TableService &table,
-                                          Storage::OperationIds &operations,
-                                          Base::RandomSource &random);
+    static Base::Result<ClaimRegistry> create(const ClaimPolicy &policy, const Base::HostId &self,
+                                              Base::Incarnation incarnation,
+                                              Storage::TableService &table,
+                                              Storage::OperationIds &operations,
+                                              Base::RandomSource &random);
 
     /// Claims the key of \a subject for \a request. One ClaimOutcome follows within
     /// ClaimPolicy::decisionTimeout, unless the request is completed, released or abandoned before.
@@ -102,9 +102,9 @@
         bool isOwned = false;
     };
 
-    ClaimBook(const ClaimPolicy &policy, const Base::HostId &self, Base::Incarnation incarnation,
-              Storage::TableService &table, Storage::OperationIds &operations,
-              Base::RandomSource &random);
+    ClaimRegistry(const ClaimPolicy &policy, const Base::HostId &self,
+                  Base::Incarnation incarnation, Storage::TableService &table,
+                  Storage::OperationIds &operations, Base::RandomSource &random);
     /// Removes the link between a request and its claim, and returns the claim; empty if the
     /// request has none.
     std::optional<ClaimId> detach(const Base::RequestKey &request);
--- a/src/libs/claims/claimjudge.cpp
+++ b/src/libs/claims/rowclassifier.cpp
@@ -1,4 +1,4 @@
-#include "claims/claimjudge.h"
+#include "claims/rowclassifier.h"
 
 namespace Claims {
 
@@ -51,7 +51,7 @@
         return ClaimVerdict::InProgress;
     case RowKind::Lapsed:
     case RowKind::Malformed:
-        return ClaimVerdict::Undecidable;
+        return ClaimVerdict::Indeterminate;
     case RowKind::Absent:
     case RowKind::Own:
     case RowKind::Free:
--- a/src/libs/daemon/callersession.cpp
+++ b/src/libs/daemon/callersession.cpp
@@ -58,7 +58,7 @@
     // Pushes after the lock is released: the ring may be full, and the core must be able to lock
     // this session while it empties the ring.
     if (isUnblocked)
-        m_ring.push(Node::CallerReady{m_id});
+        m_ring.push(Node::CallerUnblocked{m_id});
     return item;
 }
 
--- a/src/libs/daemon/callersession.h
+++ b/src/libs/daemon/callersession.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "daemon/eventring.h"
-#include "node/callerport.h"
+#include "node/callersink.h"
 
 #include <condition_variable>
 #include <cstddef>
--- a/src/libs/daemon/callersessions.cpp
+++ b/src/libs/daemon/callersessions.cpp
@@ -24,7 +24,7 @@
         m_sessions.erase(session.id());
     }
     if (!session.isEnded() && !session.isHungUp())
-        m_ring.push(Node::CallerGone{session.id()});
+        m_ring.push(Node::CallerDisconnected{session.id()});
 }
 
 void CallerSessions::hangUp(Node::CallerId caller)
@@ -33,7 +33,7 @@
     if (!session)
         return;
     session->hangUp();
-    m_ring.push(Node::CallerGone{caller});
+    m_ring.push(Node::CallerDisconnected{caller});
 }
 
 void CallerSessions::hangUpAll()
--- a/src/libs/daemon/callersessions.h
+++ b/src/libs/daemon/callersessions.h
@@ -2,7 +2,7 @@
 
 #include "daemon/callersession.h"
 #include "daemon/eventring.h"
-#include "node/callerport.h"
+#include "node/callersink.h"
 
 #include <atomic>
 #include <map>
@@ -13,7 +13,7 @@
 namespace Daemon {
 
 /// All open exchanges with callers. The node answers its callers through this class.
-class CallerSessions final : public Node::CallerPort
+class CallerSessions final : public Node::CallerSink
 {
 public:
     CallerSessions(std::size_t bufferLimit, EventRing &ring);
--- a/src/libs/daemon/corethread.cpp
+++ b/src/libs/daemon/corethread.cpp
@@ -11,7 +11,7 @@
 } // namespace
 
 CoreThread::CoreThread(std::unique_ptr<Node::Node> node, EventRing &ring, CallerSessions &sessions,
-                       ProcessState &state, NodeWatcher &sampler)
+                       ProcessState &state, NodeSampler &sampler)
     : m_node(std::move(node))
     , m_ring(ring)
     , m_sessions(sessions)
@@ -69,7 +69,7 @@
     if (now < m_nextSample)
         return;
     m_nextSample = now + sampleInterval;
-    m_sampler.nodeChanged(*m_node);
+    m_sampler.sampleNode(*m_node);
 }
 
 } // namespace Daemon
--- a/src/libs/daemon/corethread.h
+++ b/src/libs/daemon/corethread.h
@@ -14,11 +14,11 @@
 namespace Daemon {
 
 /// Reads the state of the node about once a second on the core's thread, for metrics.
-class NodeWatcher
+class NodeSampler
 {
 public:
-    virtual ~NodeWatcher() = default;
-    virtual void nodeChanged(const Node::Node &node) = 0;
+    virtual ~NodeSampler() = default;
+    virtual void sampleNode(const Node::Node &node) = 0;
 };
 
 /// The thread that owns the node. It passes events from the ring to the node and advances the
@@ -31,7 +31,7 @@
 public:
     /// Starts the thread. Calls \a sampler about once a second.
     CoreThread(std::unique_ptr<Node::Node> node, EventRing &ring, CallerSessions &sessions,
-               ProcessState &state, NodeWatcher &sampler);
+               ProcessState &state, NodeSampler &sampler);
     /// Stops the thread at once, even while requests are open.
     ~CoreThread();
 
@@ -48,7 +48,7 @@
     EventRing &m_ring;
     CallerSessions &m_sessions;
     ProcessState &m_state;
-    NodeWatcher &m_sampler;
+    NodeSampler &m_sampler;
     Base::TimePoint m_nextSample{};
     std::atomic<bool> m_isDrained = false;
     std::thread m_thread;
--- a/src/libs/daemon/daemon.cpp
+++ b/src/libs/daemon/daemon.cpp
@@ -27,7 +27,7 @@
 } // namespace
 
 Base::Result<std::unique_ptr<Daemon>> Daemon::create(const DaemonSettings &settings,
-                                                     const DaemonReports &instrumentation)
+                                                     const DaemonInstrumentation &instrumentation)
 {
     std::unique_ptr<Daemon> daemon(new Daemon(settings));
     Base::Result<void> started = daemon->start(instrumentation);
@@ -56,7 +56,7 @@
     if (m_state.isLeaving.exchange(true))
         return;
     m_leavingSince = now;
-    m_ring.push(Node::ShutdownAsked{});
+    m_ring.push(Node::ShutdownRequested{});
 }
 
 bool Daemon::isFinished(Base::TimePoint now) const
@@ -73,7 +73,7 @@
     m_platform->pollHosts();
 }
 
-Base::Result<void> Daemon::start(const DaemonReports &instrumentation)
+Base::Result<void> Daemon::start(const DaemonInstrumentation &instrumentation)
 {
     BOOST_LEAF_ASSIGN(m_peers, GrpcPeerTransport::create(m_settings.host, m_incarnation, m_ring));
     BOOST_LEAF_ASSIGN(m_backends, HttpBackendClient::create(m_ring));
@@ -96,7 +96,8 @@
     return {};
 }
 
-Base::Result<std::unique_ptr<Node::Node>> Daemon::createNode(const DaemonReports &instrumentation)
+Base::Result<std::unique_ptr<Node::Node>>
+Daemon::createNode(const DaemonInstrumentation &instrumentation)
 {
     const Node::Environment environment{m_sessions,  *m_peers,    *m_backends,
                                         *m_platform, *m_platform, instrumentation.observer,
--- a/src/libs/daemon/daemon.h
+++ b/src/libs/daemon/daemon.h
@@ -9,7 +9,7 @@
 #include "daemon/grpcpeerserver.h"
 #include "daemon/grpcpeertransport.h"
 #include "daemon/httpbackendclient.h"
-#include "daemon/httpfront.h"
+#include "daemon/httpserver.h"
 #include "daemon/platformclient.h"
 #include "daemon/processstate.h"
 #include "node/nodesettings.h"
@@ -27,10 +27,10 @@
 
 /// Where the daemon reports its logs, metrics and traces. The referenced objects must outlive the
 /// daemon.
-struct DaemonReports
+struct DaemonInstrumentation
 {
     Node::NodeObserver &observer;
-    NodeWatcher &sampler;
+    NodeSampler &sampler;
     MetricsPage &metrics;
 };
 
@@ -40,8 +40,8 @@
 public:
     /// Creates the daemon and starts to serve. Fails with MalformedAddress, CannotListen,
     /// WatcherUnavailable, ClientUnavailable or an error of the node's parts.
-    static Base::Result<std::unique_ptr<Daemon>> create(const DaemonSettings &settings,
-                                                        const DaemonReports &instrumentation);
+    static Base::Result<std::unique_ptr<Daemon>>
+    create(const DaemonSettings &settings, const DaemonInstrumentation &instrumentation);
     ~Daemon();
 
     /// Starts to leave the fleet. May be called on any thread. New work is still accepted while
@@ -59,8 +59,9 @@
 
 private:
     explicit Daemon(const DaemonSettings &settings);
-    Base::Result<void> start(const DaemonReports &instrumentation);
-    Base::Result<std::unique_ptr<Node::Node>> createNode(const DaemonReports &instrumentation);
+    Base::Result<void> start(const DaemonInstrumentation &instrumentation);
+    Base::Result<std::unique_ptr<Node::Node>>
+    createNode(const DaemonInstrumentation &instrumentation);
     Node::NodeSettings nodeSettings() const;
     void seedPeers();
 
--- a/src/libs/daemon/grpcpeerserver.cpp
+++ b/src/libs/daemon/grpcpeerserver.cpp
@@ -1,6 +1,6 @@
 #include "daemon/grpcpeerserver.h"
 
-#include "daemon/httpfront.h"
+#include "daemon/httpserver.h"
 #include "wire/peercodec.h"
 
 #include "peer.grpc.pb.h"
--- a/src/libs/daemon/grpcpeertransport.cpp
+++ b/src/libs/daemon/grpcpeertransport.cpp
@@ -144,7 +144,7 @@
 
 void GrpcPeerTransport::fillBatch(Call &call, Peer &peer)
 {
-    const Wire::BatchEnds ends{m_self, m_incarnation, peer.host};
+    const Wire::BatchEndpoints ends{m_self, m_incarnation, peer.host};
     const Base::TimePoint now = Base::Clock::now();
     Wire::startBatch(call.batch, ends);
     // The fixed cost of the batch is counted for the kind of its first message.
--- a/src/libs/daemon/hangupwatcher.h
+++ b/src/libs/daemon/hangupwatcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/result.h"
-#include "node/callerport.h"
+#include "node/callersink.h"
 
 #include <functional>
 #include <memory>
--- a/src/libs/daemon/homemetrics.cpp
+++ b/src/libs/daemon/homemetrics.cpp
@@ -27,7 +27,7 @@
     , m_utilisation(&utilisation)
 {}
 
-void HomeMetrics::nodeChanged(const Node::Node &node)
+void HomeMetrics::sampleNode(const Node::Node &node)
 {
     // A shard whose home has moved to another router must not keep its last values.
     resetGauges();
@@ -35,7 +35,7 @@
         const Labels labels{key.first.value(), std::to_string(key.second)};
         m_fairnessGap->with(labels).set(static_cast<double>(home->fairnessGap()));
         m_homeLabels.push_back(labels);
-        for (const Node::ServerUse &use : home->serverUse())
+        for (const Node::ServerUsage &use : home->serverUsage())
             setServerGauges(key.first, use);
     }
 }
@@ -53,7 +53,7 @@
     m_serverLabels.clear();
 }
 
-void HomeMetrics::setServerGauges(const Base::PoolId &pool, const Node::ServerUse &use)
+void HomeMetrics::setServerGauges(const Base::PoolId &pool, const Node::ServerUsage &use)
 {
     const Labels labels{pool.value(), use.server.value()};
     const auto inUse = static_cast<double>(use.inUse);
--- a/src/libs/daemon/homemetrics.h
+++ b/src/libs/daemon/homemetrics.h
@@ -13,13 +13,13 @@
 /// Publishes the metrics of the pool shards whose home is this router. The home of a shard queues
 /// the shard's requests and gives out the permits to run them on its backend servers. The metrics
 /// are the fairness gap of each shard, and how much of each backend server is in use.
-class HomeMetrics final : public NodeWatcher
+class HomeMetrics final : public NodeSampler
 {
 public:
     /// Fails as Metrics::Registry does.
     static Base::Result<std::unique_ptr<HomeMetrics>> create(Metrics::Registry &registry);
 
-    void nodeChanged(const Node::Node &node) override;
+    void sampleNode(const Node::Node &node) override;
 
 private:
     using Gauges = Metrics::Family<Metrics::Gauge>;
@@ -27,7 +27,7 @@
 
     HomeMetrics(Gauges &fairnessGap, Gauges &inUse, Gauges &limit, Gauges &utilisation);
     void resetGauges();
-    void setServerGauges(const Base::PoolId &pool, const Node::ServerUse &use);
+    void setServerGauges(const Base::PoolId &pool, const Node::ServerUsage &use);
 
     Gauges *m_fairnessGap;
     Gauges *m_inUse;
--- a/src/libs/daemon/httpfront.cpp
+++ b/src/libs/daemon/httpserver.cpp
@@ -1,4 +1,4 @@
-#include "daemon/httpfront.h"
+#include "daemon/httpserver.h"
 
 #include "daemon/address.h"
 #include "daemon/answerstream.h"
--- a/src/libs/daemon/requestparser.cpp
+++ b/src/libs/daemon/requestparser.cpp
@@ -157,7 +157,7 @@
                                && startWithin->get<std::uint64_t>() <= maxMilliseconds;
     if (!hasValidStart)
         return badRequest(RequestFault::MalformedTarget);
-    Node::TargetWriteAsked asked;
+    Node::TargetWriteRequested asked;
     asked.seen = *version;
     asked.target.name = Base::ClassId(name);
     asked.target.startWithin = Base::Milliseconds(startWithin->get<std::uint64_t>());
@@ -190,17 +190,17 @@
         return isPost ? parseService(request) : badRequest(RequestFault::WrongMethod);
     if (path == "/v1/entry-hosts") {
         const Base::ZoneId zone(queryValue(request.target, "zone"));
-        return expectMethod(request, "GET", Node::Event(Node::EntryHostsAsked{0, zone}));
+        return expectMethod(request, "GET", Node::Event(Node::EntryHostsRequested{0, zone}));
     }
     if (path == targetsPath)
-        return expectMethod(request, "GET", Node::Event(Node::TargetsAsked{}));
+        return expectMethod(request, "GET", Node::Event(Node::TargetsRequested{}));
     if (path.rfind(std::string(targetsPath) + '/', 0) == 0) {
         if (request.method != "PUT")
             return badRequest(RequestFault::WrongMethod);
         return parseTargetWrite(request, path.substr(targetsPath.size() + 1));
     }
     if (path == "/v1/status")
-        return expectMethod(request, "GET", Node::Event(Node::StatusAsked{}));
+        return expectMethod(request, "GET", Node::Event(Node::StatusRequested{}));
     if (path == "/healthz")
         return expectMethod(request, "GET", LocalPage::Health);
     if (path == "/readyz")
--- a/src/libs/node/attempt.cpp
+++ b/src/libs/node/attempt.cpp
@@ -28,12 +28,12 @@
     request.attempt = open.attemptId();
     request.server = server.id;
     request.address = server.address;
-    request.kind = open.asked.kind;
-    request.path = open.asked.path;
-    request.contentType = open.asked.contentType;
-    request.body = open.asked.body;
-    request.traceparent = open.asked.traceparent;
-    request.idempotencyKey = open.asked.idempotencyKey;
+    request.kind = open.callerRequest.kind;
+    request.path = open.callerRequest.path;
+    request.contentType = open.callerRequest.contentType;
+    request.body = open.callerRequest.body;
+    request.traceparent = open.callerRequest.traceparent;
+    request.idempotencyKey = open.callerRequest.idempotencyKey;
     request.fence = open.fence;
     if (open.nextPart > 0) {
         request.resumeStream = open.streamName;
@@ -47,16 +47,16 @@
 {
     Scheduling::FailedAttempt attempt;
     attempt.ran = toAttemptExecution(failed.sent);
-    attempt.isRepeatable = open.asked.isRepeatable;
+    attempt.isRepeatable = open.callerRequest.isRepeatable;
     // The answer of a service starts with its status, which is already sent to the caller. The
     // stream of a model starts with its first part.
-    const bool isService = open.asked.kind == WorkKind::ServiceCall;
+    const bool isService = open.callerRequest.kind == WorkKind::ServiceCall;
     attempt.isAnswerStarted = open.nextPart > 0 || (isService && open.isAnswerStarted);
     attempt.isStreamResumable =
         open.nextPart > 0 && !open.streamName.empty() && failed.status != streamUnknownStatus;
     attempt.attempts = open.attempt;
-    if (open.asked.deadline)
-        attempt.deadlineWithin = open.arrivedAt + *open.asked.deadline - now;
+    if (open.callerRequest.deadline)
+        attempt.deadlineWithin = open.arrivedAt + *open.callerRequest.deadline - now;
     if (failed.retryAfter)
         attempt.serverRetryAfter = *failed.retryAfter;
     return attempt;
--- a/src/libs/node/callerport.h
+++ b/src/libs/node/callersink.h
@@ -104,10 +104,10 @@
 ///
 /// Each request gets startAnswer(), any number of appendAnswer() and then finishAnswer(). In place
 /// of any of these calls it may get fail(), which is then its last one.
-class CallerPort
+class CallerSink
 {
 public:
-    virtual ~CallerPort() = default;
+    virtual ~CallerSink() = default;
     virtual void startAnswer(CallerId caller, const AnswerHead &head) = 0;
     virtual void appendAnswer(CallerId caller, const AnswerPart &part) = 0;
     virtual void finishAnswer(CallerId caller) = 0;
--- a/src/libs/node/entryrequests.cpp
+++ b/src/libs/node/entryrequests.cpp
@@ -42,16 +42,16 @@
     , m_recorder(context.environment.observer, context.membership.self().host)
 {}
 
-void EntryRequests::open(const CallerRequest &asked, Base::TimePoint now)
+void EntryRequests::open(const CallerRequest &callerRequest, Base::TimePoint now)
 {
     const Base::RequestKey key = newKey();
     OpenRequest open;
     open.key = key;
-    open.asked = asked;
-    open.pool = poolOf(asked);
+    open.callerRequest = callerRequest;
+    open.pool = poolOf(callerRequest);
     open.arrivedAt = now;
     OpenRequest &added = m_open[key] = open;
-    m_byCaller[asked.caller] = key;
+    m_byCaller[callerRequest.caller] = key;
 
     // A process that has just started must not report a model as unknown, because it may not yet
     // have its configuration or the list of hosts.
@@ -63,13 +63,13 @@
         return;
     }
     const Settings::Configuration &configuration = m_context.configuration.configuration();
-    const Settings::Customer *customer = configuration.customerByKeyDigest(asked.keyDigest);
-    if (asked.keyDigest.empty() || !customer) {
+    const Settings::Customer *customer = configuration.customerByKeyDigest(callerRequest.keyDigest);
+    if (callerRequest.keyDigest.empty() || !customer) {
         failWith(added, makeFailure(FailureType::Unauthorized, "unknown key"), now);
         return;
     }
     added.customer = customer->id;
-    const Settings::VersionedTarget *target = configuration.target(asked.workClass);
+    const Settings::VersionedTarget *target = configuration.target(callerRequest.workClass);
     if (!target) {
         failWith(added, makeFailure(FailureType::UnknownClass, "unknown class of work"), now);
         return;
@@ -85,8 +85,9 @@
         return;
     }
     added.state = RequestState::Claiming;
-    m_context.claims.claim(key, {added.customer, asked.idempotencyKey, contentHash(asked)}, now,
-                           m_context.environment.wallClock.now());
+    m_context.claims.claim(
+        key, {added.customer, callerRequest.idempotencyKey, contentHash(callerRequest)}, now,
+        m_context.environment.wallClock.now());
 }
 
 void EntryRequests::handleCallerDisconnected(CallerId caller, Base::TimePoint now)
@@ -160,7 +161,7 @@
     case ClaimVerdict::Conflict:
         failure = makeFailure(FailureType::KeyConflict, "the key was used for other content");
         break;
-    case ClaimVerdict::Undecidable:
+    case ClaimVerdict::Indeterminate:
         failure = makeFailure(FailureType::KeyInProgress, "a call with this key may have run");
         failure.ran = Ran::Unknown;
         break;
@@ -224,14 +225,14 @@
     answer.requestId = Base::toString(open->key);
     answer.status = head.status;
     answer.contentType = head.contentType;
-    answer.isEventStream = open->asked.kind == WorkKind::ChatCompletion;
+    answer.isEventStream = open->callerRequest.kind == WorkKind::ChatCompletion;
     if (open->needsClaim()) {
         open->storedAnswer.status = answer.status;
         open->storedAnswer.contentType = answer.contentType;
         open->storedAnswer.isEventStream = answer.isEventStream;
     }
     if (!open->isCallerDisconnected)
-        m_context.environment.callers.startAnswer(open->asked.caller, answer);
+        m_context.environment.callers.startAnswer(open->callerRequest.caller, answer);
 }
 
 void EntryRequests::handleBackendPart(const BackendPart &part, Base::TimePoint now)
@@ -252,7 +253,7 @@
     if (open->needsClaim())
         open->storedAnswer.parts.push_back(part.payload);
     if (!open->isCallerDisconnected)
-        m_context.environment.callers.appendAnswer(open->asked.caller, {part.payload});
+        m_context.environment.callers.appendAnswer(open->callerRequest.caller, {part.payload});
 }
 
 void EntryRequests::handleBackendFinished(const BackendFinished &finished, Base::TimePoint now)
@@ -269,7 +270,7 @@
     if (open->needsClaim())
         m_context.claims.complete(open->key, encodeAnswer(open->storedAnswer), now);
     if (!open->isCallerDisconnected)
-        m_context.environment.callers.finishAnswer(open->asked.caller);
+        m_context.environment.callers.finishAnswer(open->callerRequest.caller);
     m_recorder.recordEnd(*open, nullptr, now);
     close(open->key);
 }
@@ -324,7 +325,7 @@
     std::vector<AttemptId> idle;
     std::vector<Base::RequestKey> due;
     for (const auto &[key, open] : m_open) {
-        if (open.asked.deadline && now - open.arrivedAt >= *open.asked.deadline)
+        if (open.callerRequest.deadline && now - open.arrivedAt >= *open.callerRequest.deadline)
             expired.push_back(key);
         else if (isBackendIdle(open, now))
             idle.push_back(open.attemptId());
@@ -366,7 +367,7 @@
         open.isCallerDisconnected = true;
         failure.requestId = Base::toString(open.key);
         failure.ran = Ran::Unknown;
-        m_context.environment.callers.fail(open.asked.caller, failure);
+        m_context.environment.callers.fail(open.callerRequest.caller, failure);
         return;
     }
     cancelWork(open, now);
@@ -444,12 +445,12 @@
         failWith(open, failure, now);
         return;
     }
-    CallerPort &callers = m_context.environment.callers;
-    callers.startAnswer(open.asked.caller, {Base::toString(open.key), answer->status,
-                                            answer->contentType, answer->isEventStream});
+    CallerSink &callers = m_context.environment.callers;
+    callers.startAnswer(open.callerRequest.caller, {Base::toString(open.key), answer->status,
+                                                    answer->contentType, answer->isEventStream});
     for (const std::string &part : answer->parts)
-        callers.appendAnswer(open.asked.caller, {part});
-    callers.finishAnswer(open.asked.caller);
+        callers.appendAnswer(open.callerRequest.caller, {part});
+    callers.finishAnswer(open.callerRequest.caller);
     m_recorder.recordEnd(open, nullptr, now);
     close(open.key);
 }
@@ -461,7 +462,7 @@
         failure.ran = Ran::Unknown;
     settleClaim(open, now);
     if (!open.isCallerDisconnected)
-        m_context.environment.callers.fail(open.asked.caller, failure);
+        m_context.environment.callers.fail(open.callerRequest.caller, failure);
     m_recorder.recordEnd(open, &failure, now);
     close(open.key);
 }
@@ -479,7 +480,7 @@
 void EntryRequests::close(const Base::RequestKey &key)
 {
     const auto it = m_open.find(key);
-    m_byCaller.erase(it->second.asked.caller);
+    m_byCaller.erase(it->second.callerRequest.caller);
     m_open.erase(it);
 }
 
--- a/src/libs/node/entryrequests.h
+++ b/src/libs/node/entryrequests.h
@@ -3,7 +3,7 @@
 #include "base/ids.h"
 #include "base/result.h"
 #include "base/time.h"
-#include "claims/claimbook.h"
+#include "claims/claimregistry.h"
 #include "coordination/configurationreplica.h"
 #include "coordination/membership.h"
 #include "node/environment.h"
@@ -32,7 +32,7 @@
     const Coordination::Membership &membership;
     const Coordination::ConfigurationReplica &configuration;
     const ServerDirectory &directory;
-    Claims::ClaimBook &claims;
+    Claims::ClaimRegistry &claims;
     const PoolHomes &homes;
     const HomeOrderCache &homeOrders;
     Outbox &outbox;
@@ -55,7 +55,7 @@
     static Base::Result<std::unique_ptr<EntryRequests>> create(const EntryContext &context);
 
     /// Opens a request: authenticates the caller, then claims the work or requests a permit.
-    void open(const CallerRequest &asked, Base::TimePoint now);
+    void open(const CallerRequest &callerRequest, Base::TimePoint now);
     /// Cancels the work of the caller's request. Work that is not repeatable and already sent runs
     /// to its end.
     void handleCallerDisconnected(CallerId caller, Base::TimePoint now);
--- a/src/libs/node/environment.h
+++ b/src/libs/node/environment.h
@@ -3,7 +3,7 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "node/backendclient.h"
-#include "node/callerport.h"
+#include "node/callersink.h"
 #include "node/nodeobserver.h"
 #include "node/peertransport.h"
 #include "storage/objectstore.h"
@@ -22,7 +22,7 @@
 /// All external interfaces of a node. The objects must outlive the node.
 struct Environment
 {
-    CallerPort &callers;
+    CallerSink &callers;
     PeerTransport &peers;
     BackendClient &backends;
     Storage::TableService &table;
--- a/src/libs/node/event.h
+++ b/src/libs/node/event.h
@@ -3,7 +3,7 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "node/backendclient.h"
-#include "node/callerport.h"
+#include "node/callersink.h"
 #include "node/peermessage.h"
 #include "settings/configuration.h"
 #include "storage/hostlist.h"
@@ -45,7 +45,7 @@
 };
 
 /// The caller closed its connection.
-struct CallerGone
+struct CallerDisconnected
 {
     CallerId caller = 0;
 };
@@ -57,13 +57,13 @@
 };
 
 /// The caller's output buffer has room again.
-struct CallerReady
+struct CallerUnblocked
 {
     CallerId caller = 0;
 };
 
 /// A caller requested the list of entry hosts.
-struct EntryHostsAsked
+struct EntryHostsRequested
 {
     CallerId caller = 0;
     /// Availability zone of the caller; if empty, that of this process is used.
@@ -71,13 +71,13 @@
 };
 
 /// An operator requested the targets of all classes of work.
-struct TargetsAsked
+struct TargetsRequested
 {
     CallerId caller = 0;
 };
 
 /// An operator requested to change the target of a class of work.
-struct TargetWriteAsked
+struct TargetWriteRequested
 {
     CallerId caller = 0;
     Settings::ClassTarget target;
@@ -86,7 +86,7 @@
 };
 
 /// An operator requested the status of this node.
-struct StatusAsked
+struct StatusRequested
 {
     CallerId caller = 0;
 };
@@ -113,13 +113,14 @@
 
 /// The platform requested a graceful shutdown: the process finishes its open requests and takes
 /// no new ones.
-struct ShutdownAsked
+struct ShutdownRequested
 {};
 
 using Event =
-    std::variant<CallerRequest, CallerGone, CallerBlocked, CallerReady, EntryHostsAsked,
-                 TargetsAsked, TargetWriteAsked, StatusAsked, PeerMessageArrived, PeerUnreachable,
-                 BackendHead, BackendPart, BackendFinished, BackendFailed, BackendLoad,
-                 Storage::TableOutcome, Storage::ObjectOutcome, HostListArrived, ShutdownAsked>;
+    std::variant<CallerRequest, CallerDisconnected, CallerBlocked, CallerUnblocked,
+                 EntryHostsRequested, TargetsRequested, TargetWriteRequested, StatusRequested,
+                 PeerMessageArrived, PeerUnreachable, BackendHead, BackendPart, BackendFinished,
+                 BackendFailed, BackendLoad, Storage::TableOutcome, Storage::ObjectOutcome,
+                 HostListArrived, ShutdownRequested>;
 
 } // namespace Node
--- a/src/libs/node/failures.h
+++ b/src/libs/node/failures.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "node/callerport.h"
+#include "node/callersink.h"
 #include "node/peermessage.h"
 
 #include <string>
--- a/src/libs/node/homewatch.cpp
+++ b/src/libs/node/homemonitor.cpp
@@ -1,4 +1,4 @@
-#include "node/homewatch.h"
+#include "node/homemonitor.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/libs/node/homeorders.cpp
+++ b/src/libs/node/homeordercache.cpp
@@ -1,4 +1,4 @@
-#include "node/homeorders.h"
+#include "node/homeordercache.h"
 
 #include "coordination/homemap.h"
 
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -44,10 +44,10 @@
             m_settings.self.host.value() + '-' + std::to_string(m_settings.self.incarnation)));
     m_configuration =
         std::make_unique<Coordination::ConfigurationReplica>(std::move(configuration));
-    BOOST_LEAF_AUTO(claims, Claims::ClaimBook::create(m_settings.claims, m_settings.self.host,
-                                                      m_settings.self.incarnation, *m_table,
-                                                      m_operations, m_environment.random));
-    m_claims = std::make_unique<Claims::ClaimBook>(std::move(claims));
+    BOOST_LEAF_AUTO(claims, Claims::ClaimRegistry::create(m_settings.claims, m_settings.self.host,
+                                                          m_settings.self.incarnation, *m_table,
+                                                          m_operations, m_environment.random));
+    m_claims = std::make_unique<Claims::ClaimRegistry>(std::move(claims));
     BOOST_LEAF_AUTO(sweeper,
                     Claims::ClaimSweeper::create(m_settings.sweep, *m_table, m_operations));
     m_sweeper = std::make_unique<Claims::ClaimSweeper>(std::move(sweeper));
@@ -176,7 +176,7 @@
     m_entryRequests->open(event, now);
 }
 
-void Node::on(const CallerGone &event, Base::TimePoint now)
+void Node::on(const CallerDisconnected &event, Base::TimePoint now)
 {
     m_entryRequests->handleCallerDisconnected(event.caller, now);
 }
@@ -186,12 +186,12 @@
     m_entryRequests->handleCallerBlocked(event.caller);
 }
 
-void Node::on(const CallerReady &event, Base::TimePoint now)
+void Node::on(const CallerUnblocked &event, Base::TimePoint now)
 {
     m_entryRequests->handleCallerUnblocked(event.caller, now);
 }
 
-void Node::on(const EntryHostsAsked &event, Base::TimePoint)
+void Node::on(const EntryHostsRequested &event, Base::TimePoint)
 {
     const Base::ZoneId near = event.zone.isEmpty() ? m_settings.self.zone : event.zone;
     EntryHostList list;
@@ -210,7 +210,7 @@
     m_environment.callers.sendEntryHosts(event.caller, list);
 }
 
-void Node::on(const TargetsAsked &event, Base::TimePoint)
+void Node::on(const TargetsRequested &event, Base::TimePoint)
 {
     TargetList list;
     list.version = m_configuration->configuration().version();
@@ -219,12 +219,12 @@
     m_environment.callers.sendTargets(event.caller, list);
 }
 
-void Node::on(const TargetWriteAsked &event, Base::TimePoint now)
+void Node::on(const TargetWriteRequested &event, Base::TimePoint now)
 {
     m_configuration->writeTarget(event.caller, event.target, event.seen, now);
 }
 
-void Node::on(const StatusAsked &event, Base::TimePoint)
+void Node::on(const StatusRequested &event, Base::TimePoint)
 {
     m_environment.callers.sendStatus(event.caller, status());
 }
@@ -281,7 +281,7 @@
         m_isDirectoryChanged = true;
 }
 
-void Node::on(const ShutdownAsked &, Base::TimePoint)
+void Node::on(const ShutdownRequested &, Base::TimePoint)
 {
     if (m_isLeaving)
         return;
@@ -423,7 +423,7 @@
     for (const Coordination::TargetWriteResult &result : m_configuration->takeWriteResults()) {
         using Coordination::TargetWriteStatus;
         if (result.status == TargetWriteStatus::Accepted) {
-            on(TargetsAsked{result.handle}, {});
+            on(TargetsRequested{result.handle}, {});
             continue;
         }
         Failure failure;
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -3,7 +3,7 @@
 #include "base/ids.h"
 #include "base/result.h"
 #include "base/time.h"
-#include "claims/claimbook.h"
+#include "claims/claimregistry.h"
 #include "claims/claimsweeper.h"
 #include "coordination/configurationreplica.h"
 #include "coordination/membership.h"
@@ -11,7 +11,7 @@
 #include "node/entryrequests.h"
 #include "node/environment.h"
 #include "node/event.h"
-#include "node/homeorders.h"
+#include "node/homeordercache.h"
 #include "node/nodesettings.h"
 #include "node/outbox.h"
 #include "node/poolhomes.h"
@@ -80,13 +80,13 @@
     void processPendingWork(Base::TimePoint now);
 
     void on(const CallerRequest &event, Base::TimePoint now);
-    void on(const CallerGone &event, Base::TimePoint now);
+    void on(const CallerDisconnected &event, Base::TimePoint now);
     void on(const CallerBlocked &event, Base::TimePoint now);
-    void on(const CallerReady &event, Base::TimePoint now);
-    void on(const EntryHostsAsked &event, Base::TimePoint now);
-    void on(const TargetsAsked &event, Base::TimePoint now);
-    void on(const TargetWriteAsked &event, Base::TimePoint now);
-    void on(const StatusAsked &event, Base::TimePoint now);
+    void on(const CallerUnblocked &event, Base::TimePoint now);
+    void on(const EntryHostsRequested &event, Base::TimePoint now);
+    void on(const TargetsRequested &event, Base::TimePoint now);
+    void on(const TargetWriteRequested &event, Base::TimePoint now);
+    void on(const StatusRequested &event, Base::TimePoint now);
     void on(const PeerMessageArrived &event, Base::TimePoint now);
     void on(const PeerUnreachable &event, Base::TimePoint now);
     void on(const BackendHead &event, Base::TimePoint now);
@@ -97,7 +97,7 @@
     void on(const Storage::TableOutcome &event, Base::TimePoint now);
     void on(const Storage::ObjectOutcome &event, Base::TimePoint now);
     void on(const HostListArrived &event, Base::TimePoint now);
-    void on(const ShutdownAsked &event, Base::TimePoint now);
+    void on(const ShutdownRequested &event, Base::TimePoint now);
 
     void receive(const Base::HostId &from, const Coordination::Heartbeat &message,
                  Base::TimePoint now);
@@ -137,7 +137,7 @@
     std::unique_ptr<Storage::TableGateway> m_table;
     std::unique_ptr<Coordination::Membership> m_membership;
     std::unique_ptr<Coordination::ConfigurationReplica> m_configuration;
-    std::unique_ptr<Claims::ClaimBook> m_claims;
+    std::unique_ptr<Claims::ClaimRegistry> m_claims;
     std::unique_ptr<Claims::ClaimSweeper> m_sweeper;
     std::unique_ptr<EntryRequests> m_entryRequests;
     std::unique_ptr<HomeOrderCache> m_homeOrders;
--- a/src/libs/node/nodeobserver.h
+++ b/src/libs/node/nodeobserver.h
@@ -2,7 +2,7 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "node/callerport.h"
+#include "node/callersink.h"
 
 #include <string>
 
--- a/src/libs/node/nodesettings.h
+++ b/src/libs/node/nodesettings.h
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "claims/claimbook.h"
+#include "claims/claimregistry.h"
 #include "claims/claimsweeper.h"
 #include "coordination/configurationreplica.h"
 #include "coordination/membership.h"
 #include "coordination/serviceledger.h"
 #include "coordination/trafficmeter.h"
-#include "node/homewatch.h"
+#include "node/homemonitor.h"
 #include "scheduling/admissionpolicy.h"
 #include "scheduling/concurrencylimiter.h"
 #include "scheduling/fairqueue.h"
--- a/src/libs/node/openrequest.h
+++ b/src/libs/node/openrequest.h
@@ -23,7 +23,7 @@
 struct OpenRequest
 {
     Base::RequestKey key;
-    CallerRequest asked;
+    CallerRequest callerRequest;
     Base::CustomerId customer;
     Settings::ClassTarget target;
     Base::PoolId pool;
@@ -75,7 +75,7 @@
     /// gets the same answer.
     StoredAnswer storedAnswer;
 
-    bool needsClaim() const { return !asked.isRepeatable; }
+    bool needsClaim() const { return !callerRequest.isRepeatable; }
     AttemptId attemptId() const { return {key, attempt}; }
     bool holdsPermit() const
     {
--- a/src/libs/node/permitclient.cpp
+++ b/src/libs/node/permitclient.cpp
@@ -196,10 +196,10 @@
     request.workClass = open.target.name;
     request.waited = toMilliseconds(now - open.arrivedAt);
     request.startWithin = open.target.startWithin - request.waited;
-    if (open.asked.deadline)
-        request.deadlineWithin = *open.asked.deadline - request.waited;
-    request.expectedCost = expectedCost(open.asked);
-    request.prefix = open.asked.prefix;
+    if (open.callerRequest.deadline)
+        request.deadlineWithin = *open.callerRequest.deadline - request.waited;
+    request.expectedCost = expectedCost(open.callerRequest);
+    request.prefix = open.callerRequest.prefix;
     return request;
 }
 
--- a/src/libs/node/poolhome.cpp
+++ b/src/libs/node/poolhome.cpp
@@ -307,9 +307,9 @@
     return ids;
 }
 
-std::vector<ServerUse> PoolHome::serverUse() const
+std::vector<ServerUsage> PoolHome::serverUsage() const
 {
-    std::vector<ServerUse> uses;
+    std::vector<ServerUsage> uses;
     for (const auto &[id, state] : m_servers) {
         if (state.isUsable)
             uses.push_back({id, state.inUse, state.limiter.limit()});
--- a/src/libs/node/poolhome.h
+++ b/src/libs/node/poolhome.h
@@ -26,7 +26,7 @@
 namespace Node {
 
 /// The permits in use and the permit limit of one backend server, as its home counts them.
-struct ServerUse
+struct ServerUsage
 {
     Base::ServerId server;
     std::size_t inUse = 0;
@@ -94,7 +94,7 @@
     /// Returns the sum of the permit limits of all usable servers.
     std::size_t permitLimit() const;
     std::vector<Base::ServerId> servers() const;
-    std::vector<ServerUse> serverUse() const;
+    std::vector<ServerUsage> serverUsage() const;
     /// Difference in weighed tokens between the most and the least served customer with waiting
     /// work; 0 if fewer than two customers have waiting work.
     Base::ServiceUnits fairnessGap() const;
--- a/src/libs/node/poolhomes.h
+++ b/src/libs/node/poolhomes.h
@@ -7,7 +7,7 @@
 #include "coordination/serviceledger.h"
 #include "coordination/stretchedinterval.h"
 #include "node/environment.h"
-#include "node/homeorders.h"
+#include "node/homeordercache.h"
 #include "node/nodesettings.h"
 #include "node/outbox.h"
 #include "node/poolhome.h"
--- a/src/libs/node/requestrecorder.cpp
+++ b/src/libs/node/requestrecorder.cpp
@@ -10,7 +10,8 @@
 void RequestRecorder::recordHop(const OpenRequest &open, Hop hop, Base::TimePoint begin,
                                 Base::TimePoint end, const std::string &place, bool isFailed)
 {
-    m_observer->hopFinished({open.key, open.asked.traceparent, hop, begin, end, place, isFailed});
+    m_observer->hopFinished(
+        {open.key, open.callerRequest.traceparent, hop, begin, end, place, isFailed});
 }
 
 void RequestRecorder::recordEnd(const OpenRequest &open, const Failure *failure,
--- a/src/libs/node/requesttraits.cpp
+++ b/src/libs/node/requesttraits.cpp
@@ -7,24 +7,25 @@
 
 namespace Node {
 
-Base::PoolId poolOf(const CallerRequest &asked)
+Base::PoolId poolOf(const CallerRequest &callerRequest)
 {
     const char *prefix =
-        asked.kind == WorkKind::ChatCompletion ? modelPoolPrefix : servicePoolPrefix;
-    return Base::PoolId(prefix + asked.target);
+        callerRequest.kind == WorkKind::ChatCompletion ? modelPoolPrefix : servicePoolPrefix;
+    return Base::PoolId(prefix + callerRequest.target);
 }
 
-Base::ServiceUnits expectedCost(const CallerRequest &asked)
+Base::ServiceUnits expectedCost(const CallerRequest &callerRequest)
 {
-    const std::uint64_t generated = asked.maxTokens == 0
-                                        ? maxAssumedGeneratedTokens
-                                        : std::min(asked.maxTokens, maxAssumedGeneratedTokens);
-    return asked.promptTokens + generated * generatedTokenWeight;
+    const std::uint64_t generated =
+        callerRequest.maxTokens == 0 ? maxAssumedGeneratedTokens
+                                     : std::min(callerRequest.maxTokens, maxAssumedGeneratedTokens);
+    return callerRequest.promptTokens + generated * generatedTokenWeight;
 }
 
-std::uint64_t contentHash(const CallerRequest &asked)
+std::uint64_t contentHash(const CallerRequest &callerRequest)
 {
-    return Base::stableHash(asked.body, Base::stableHash(asked.target + asked.path));
+    return Base::stableHash(callerRequest.body,
+                            Base::stableHash(callerRequest.target + callerRequest.path));
 }
 
 } // namespace Node
--- a/src/libs/node/requesttraits.h
+++ b/src/libs/node/requesttraits.h
@@ -8,12 +8,12 @@
 namespace Node {
 
 /// Returns the pool whose backend servers can run the request.
-Base::PoolId poolOf(const CallerRequest &asked);
+Base::PoolId poolOf(const CallerRequest &callerRequest);
 /// Returns the estimated cost in weighed tokens, from the number of prompt tokens and the caller's
 /// limit on generated tokens.
-Base::ServiceUnits expectedCost(const CallerRequest &asked);
+Base::ServiceUnits expectedCost(const CallerRequest &callerRequest);
 /// Returns a hash of target, path and body. Two calls with one idempotency key count as the same
 /// call only if these hashes are equal.
-std::uint64_t contentHash(const CallerRequest &asked);
+std::uint64_t contentHash(const CallerRequest &callerRequest);
 
 } // namespace Node
--- a/src/libs/storage/calllane.cpp
+++ b/src/libs/storage/callqueue.cpp
@@ -1,4 +1,4 @@
-#include "storage/calllane.h"
+#include "storage/callqueue.h"
 
 #include <algorithm>
 
--- a/src/libs/storage/tablegateway.h
+++ b/src/libs/storage/tablegateway.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "base/result.h"
-#include "storage/calllane.h"
+#include "storage/callqueue.h"
 #include "storage/tableservice.h"
 
 #include <cstddef>
--- a/src/libs/wire/messageencoder.cpp
+++ b/src/libs/wire/messageencoder.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-MessageEncoder::MessageEncoder(Proto::Batch &batch, const BatchEnds &endpoints,
+MessageEncoder::MessageEncoder(Proto::Batch &batch, const BatchEndpoints &endpoints,
                                Proto::Message &message)
     : m_batch(&batch)
     , m_endpoints(&endpoints)
--- a/src/libs/wire/messageencoder.h
+++ b/src/libs/wire/messageencoder.h
@@ -11,7 +11,7 @@
 class MessageEncoder
 {
 public:
-    MessageEncoder(lagoonmast::wire::Batch &batch, const BatchEnds &endpoints,
+    MessageEncoder(lagoonmast::wire::Batch &batch, const BatchEndpoints &endpoints,
                    lagoonmast::wire::Message &message);
 
     void operator()(const Coordination::Heartbeat &from);
@@ -40,7 +40,7 @@
     bool belongsToReceiver(const Base::RequestKey &request);
 
     lagoonmast::wire::Batch *m_batch;
-    const BatchEnds *m_endpoints;
+    const BatchEndpoints *m_endpoints;
     lagoonmast::wire::Message *m_message;
 };
 
--- a/src/libs/wire/peercodec.cpp
+++ b/src/libs/wire/peercodec.cpp
@@ -7,14 +7,14 @@
 
 namespace Proto = lagoonmast::wire;
 
-void startBatch(Proto::Batch &batch, const BatchEnds &endpoints)
+void startBatch(Proto::Batch &batch, const BatchEndpoints &endpoints)
 {
     batch.Clear();
     batch.set_sender(endpoints.sender.value());
     batch.set_incarnation(endpoints.senderIncarnation);
 }
 
-std::size_t appendMessage(Proto::Batch &batch, const BatchEnds &endpoints,
+std::size_t appendMessage(Proto::Batch &batch, const BatchEndpoints &endpoints,
                           const Node::PeerMessage &message)
 {
     /// Bytes for the tag and the length of a message in its batch. Messages of 16 KiB or more need
--- a/src/libs/wire/peercodec.h
+++ b/src/libs/wire/peercodec.h
@@ -31,7 +31,7 @@
 
 /// The sender and the receiver of a batch. Attempts and counters that belong to one of them leave
 /// its name out.
-struct BatchEnds
+struct BatchEndpoints
 {
     Base::HostId sender;
     Base::Incarnation senderIncarnation = 0;
@@ -48,11 +48,11 @@
 
 /// Appends \a message to \a batch and returns the bytes that it adds to the batch. All messages of
 /// a batch must be appended with the same \a endpoints.
-std::size_t appendMessage(lagoonmast::wire::Batch &batch, const BatchEnds &endpoints,
+std::size_t appendMessage(lagoonmast::wire::Batch &batch, const BatchEndpoints &endpoints,
                           const Node::PeerMessage &message);
 
 /// Clears \a batch and sets its sender from \a endpoints.
-void startBatch(lagoonmast::wire::Batch &batch, const BatchEnds &endpoints);
+void startBatch(lagoonmast::wire::Batch &batch, const BatchEndpoints &endpoints);
 
 /// Decodes a batch that arrived at \a receiver. Fails with MalformedBatch; \a batch may hold
 /// arbitrary content.
--- a/tests/auto/claims/claimfleet.h
+++ b/tests/auto/claims/claimfleet.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "claims/claimbook.h"
+#include "claims/claimregistry.h"
 #include "storage/tablegateway.h"
 #include "support/faultytable.h"
 
@@ -40,8 +40,8 @@
         : below(table, seed)
         , random(seed)
         , gateway(std::move(*Storage::TableGateway::create({}, below, random)))
-        , registry(std::move(
-              *Claims::ClaimBook::create(policy, Base::HostId(name), seed, *gateway, ids, random)))
+        , registry(std::move(*Claims::ClaimRegistry::create(policy, Base::HostId(name), seed,
+                                                            *gateway, ids, random)))
         , m_name(name)
     {}
 
@@ -89,7 +89,7 @@
     Base::SeededRandom random;
     Storage::OperationIds ids;
     std::unique_ptr<Storage::TableGateway> gateway;
-    Claims::ClaimBook registry;
+    Claims::ClaimRegistry registry;
     Base::Duration skew{};
     Base::TimePoint frozenUntil{};
     bool isCrashed = false;
--- a/tests/auto/claims/tst_claimbook.cpp
+++ b/tests/auto/claims/tst_claimregistry.cpp
@@ -146,7 +146,7 @@
     REQUIRE(fleet.sentCalls.empty());
     fleet.router(0).frozenUntil = fleet.now + 70s;
     fleet.run(67s);
-    CHECK(fleet.ask(1, "k").verdict == ClaimVerdict::Undecidable);
+    CHECK(fleet.ask(1, "k").verdict == ClaimVerdict::Indeterminate);
     CHECK(fleet.ask(1, "k", 2).verdict == ClaimVerdict::Conflict);
     fleet.run(10s);
     CHECK(fleet.sentCalls.empty());
@@ -208,7 +208,7 @@
         Fleet fleet(1);
         const std::string key = claimKey({Base::CustomerId("c"), "k", 1});
         fleet.table.rows[key] = {key, bytes, 7};
-        RC_ASSERT(fleet.ask(0, "k").verdict == ClaimVerdict::Undecidable);
+        RC_ASSERT(fleet.ask(0, "k").verdict == ClaimVerdict::Indeterminate);
         // A valid row with one changed byte.
         std::string text = encodeClaim({});
         text[seed % text.size()] = static_cast<char>(seed >> 32);
--- a/tests/auto/coordination/tst_configurationreplica.cpp
+++ b/tests/auto/coordination/tst_configurationreplica.cpp
@@ -52,17 +52,17 @@
         , replica(*ConfigurationReplica::create(policy, table, objects, operations, name))
     {}
 
-    void answer(std::size_t at, Fakes::Fate fate, Base::TimePoint now)
+    void answer(std::size_t at, Fakes::Completion completion, Base::TimePoint now)
     {
-        replica.handle(table.end(at, fate), now);
+        replica.handle(table.end(at, completion), now);
     }
     /// Advances and answers all calls with \a fate until none waits.
-    void settle(Base::TimePoint now, Fakes::Fate fate)
+    void settle(Base::TimePoint now, Fakes::Completion completion)
     {
         replica.advance(now);
         while (table.waiting() > 0 || !objects.answers.empty()) {
             if (table.waiting() > 0)
-                answer(0, fate, now);
+                answer(0, completion, now);
             while (!objects.answers.empty()) {
                 replica.handle(objects.answers.front(), now);
                 objects.answers.pop_front();
@@ -198,7 +198,7 @@
         for (auto &each : operators.routers)
             each->replica.advance(operators.now);
     } else if (what == 5) {
-        router.table.flushLate();
+        router.table.applyLate();
     } else if (what <= 7) {
         const auto from = *rc::gen::inRange<std::size_t>(0, operators.routers.size());
         const ConfigurationVersion behind = *rc::gen::inRange<ConfigurationVersion>(0, 3);
@@ -210,14 +210,14 @@
             router.replica.applySnapshot(operators.routers[from]->replica.configuration());
     } else if (router.table.waiting() > 0) {
         const auto call = *rc::gen::inRange<std::size_t>(0, router.table.waiting());
-        const auto fate =
-            *rc::gen::weightedElement<Fakes::Fate>({{10, Fakes::Fate::Answered},
-                                                    {2, Fakes::Fate::AnsweredFromBefore},
-                                                    {1, Fakes::Fate::Refused},
-                                                    {1, Fakes::Fate::LostBefore},
-                                                    {2, Fakes::Fate::LostAfter},
-                                                    {2, Fakes::Fate::LostAndLate}});
-        router.answer(call, fate, operators.now);
+        const auto completion =
+            *rc::gen::weightedElement<Fakes::Completion>({{10, Fakes::Completion::Answered},
+                                                          {2, Fakes::Completion::StaleRead},
+                                                          {1, Fakes::Completion::Refused},
+                                                          {1, Fakes::Completion::RequestLost},
+                                                          {2, Fakes::Completion::AnswerLost},
+                                                          {2, Fakes::Completion::AppliedLate}});
+        router.answer(call, completion, operators.now);
     }
     operators.collectResults();
 }
@@ -275,8 +275,8 @@
         for (int i = 0; i < 12; ++i) {
             operators.now += 1s;
             for (auto &router : operators.routers) {
-                router->table.flushLate();
-                router->settle(operators.now, Fakes::Fate::Answered);
+                router->table.applyLate();
+                router->settle(operators.now, Fakes::Completion::Answered);
             }
             operators.collectResults();
         }
@@ -292,14 +292,14 @@
 {
     Operators operators(1);
     Router &router = *operators.routers[0];
-    router.settle(operators.now, Fakes::Fate::Answered);
+    router.settle(operators.now, Fakes::Completion::Answered);
     operators.requestWrite(0, 0, 0);
-    router.answer(0, Fakes::Fate::Answered, operators.now);
-    router.answer(0, Fakes::Fate::LostAfter, operators.now);
+    router.answer(0, Fakes::Completion::Answered, operators.now);
+    router.answer(0, Fakes::Completion::AnswerLost, operators.now);
     operators.collectResults();
     CHECK(operators.results.empty());
     operators.now += 300ms;
-    router.settle(operators.now, Fakes::Fate::Answered);
+    router.settle(operators.now, Fakes::Completion::Answered);
     operators.collectResults();
     REQUIRE(operators.results[1].size() == 1);
     CHECK(operators.results[1][0].status == TargetWriteStatus::Accepted);
@@ -313,15 +313,15 @@
 {
     Operators operators(1);
     Router &router = *operators.routers[0];
-    router.settle(operators.now, Fakes::Fate::Answered);
+    router.settle(operators.now, Fakes::Completion::Answered);
     operators.requestWrite(0, 0, 0);
-    router.answer(0, Fakes::Fate::Answered, operators.now);
-    router.answer(0, Fakes::Fate::LostAndLate, operators.now);
+    router.answer(0, Fakes::Completion::Answered, operators.now);
+    router.answer(0, Fakes::Completion::AppliedLate, operators.now);
     operators.now += 300ms;
     router.replica.advance(operators.now);
-    router.answer(0, Fakes::Fate::Answered, operators.now);
-    router.table.flushLate();
-    router.settle(operators.now, Fakes::Fate::Answered);
+    router.answer(0, Fakes::Completion::Answered, operators.now);
+    router.table.applyLate();
+    router.settle(operators.now, Fakes::Completion::Answered);
     operators.collectResults();
     REQUIRE(operators.results[1].size() == 1);
     CHECK(operators.results[1][0].status == TargetWriteStatus::Accepted);
@@ -331,9 +331,9 @@
 {
     Operators operators(1);
     Router &router = *operators.routers[0];
-    router.settle(operators.now, Fakes::Fate::Answered);
+    router.settle(operators.now, Fakes::Completion::Answered);
     operators.requestWrite(0, 0, 0);
-    router.answer(0, Fakes::Fate::Answered, operators.now);
+    router.answer(0, Fakes::Completion::Answered, operators.now);
     router.replica.advance(operators.now + operators.policy.writeDeadline);
     operators.collectResults();
     REQUIRE(operators.results[1].size() == 1);
@@ -359,14 +359,14 @@
 {
     Operators operators(2);
     for (auto &router : operators.routers)
-        router->settle(operators.now, Fakes::Fate::Answered);
+        router->settle(operators.now, Fakes::Completion::Answered);
     operators.requestWrite(0, 0, 0);
     operators.requestWrite(1, 1, 0);
     for (auto &router : operators.routers) {
-        router->answer(0, Fakes::Fate::Answered, operators.now);
+        router->answer(0, Fakes::Completion::Answered, operators.now);
     }
     for (auto &router : operators.routers)
-        router->settle(operators.now, Fakes::Fate::Answered);
+        router->settle(operators.now, Fakes::Completion::Answered);
     operators.collectResults();
     CHECK(operators.results[1][0].status == TargetWriteStatus::Accepted);
     CHECK(operators.results[2][0].status == TargetWriteStatus::Accepted);
@@ -380,13 +380,13 @@
     Operators operators(3);
     for (int i = 0; i < 5; ++i) {
         operators.requestWrite(0, 0, 0);
-        operators.routers[0]->settle(operators.now, Fakes::Fate::Answered);
+        operators.routers[0]->settle(operators.now, Fakes::Completion::Answered);
     }
     const Settings::Configuration newest = operators.routers[0]->replica.configuration();
     REQUIRE(newest.version() == 5);
     operators.routers[1]->replica.applyChanges(operators.routers[0]->replica.changesAfter(0, 2));
     Router &cold = *operators.routers[2];
-    cold.settle(operators.now, Fakes::Fate::LostBefore);
+    cold.settle(operators.now, Fakes::Completion::RequestLost);
     CHECK_FALSE(cold.replica.isReady());
     cold.replica.recordPeerVersion(Base::HostId("r0"), 5, operators.now);
     cold.replica.recordPeerVersion(Base::HostId("r1"), 2, operators.now);
@@ -399,7 +399,7 @@
     CHECK(cold.replica.configuration() == newest);
     // The table stays down: the configuration stays in force, and a write fails at once.
     operators.requestWrite(2, 0, 0);
-    cold.settle(operators.now + 1s, Fakes::Fate::Refused);
+    cold.settle(operators.now + 1s, Fakes::Completion::Refused);
     operators.collectResults();
     REQUIRE(operators.results[6].size() == 1);
     CHECK(operators.results[6][0].status == TargetWriteStatus::Unavailable);
@@ -422,14 +422,14 @@
     for (int i = 0; i < 170; ++i) {
         operators.now += 61s;
         operators.requestWrite(0, i % 3, 0);
-        operators.routers[0]->settle(operators.now, Fakes::Fate::Answered);
+        operators.routers[0]->settle(operators.now, Fakes::Completion::Answered);
     }
     CHECK(operators.history().size() <= 50 + 20);
     CHECK(operators.objects.size() == 3);
     CHECK(operators.routers[0]->replica.changesAfter(0, 10).empty());
     CHECK(operators.routers[0]->replica.changesAfter(150, 10).size() == 10);
     for (int i = 0; i < 3; ++i)
-        operators.routers[1]->settle(operators.now += 1s, Fakes::Fate::Answered);
+        operators.routers[1]->settle(operators.now += 1s, Fakes::Completion::Answered);
     CHECK(operators.routers[1]->replica.isReady());
     CHECK(operators.routers[1]->replica.configuration()
           == operators.routers[0]->replica.configuration());
--- a/tests/auto/coordination/tst_orderreconciler.cpp
+++ b/tests/auto/coordination/tst_orderreconciler.cpp
@@ -83,20 +83,20 @@
         now += 100ms;
         for (auto &router : routers) {
             if (isFaulty && router->table.waiting() > 0 && chance(30))
-                router->table.land(0);
+                router->table.applyNow(0);
             if (isFaulty && now >= router->pausedUntil && chance(1))
                 router->pausedUntil = now + std::chrono::seconds(random.next() % 30);
             if (now < router->pausedUntil)
                 continue;
             while (router->table.waiting() > 0 && (!isFaulty || chance(60))) {
-                const Fakes::Fate fate =
-                    isFaulty ? Fakes::Fate(random.next() % 6) : Fakes::Fate::Answered;
-                router->reconciler.handle(router->table.end(0, fate), now + router->offset);
+                const Fakes::Completion completion =
+                    isFaulty ? Fakes::Completion(random.next() % 6) : Fakes::Completion::Answered;
+                router->reconciler.handle(router->table.end(0, completion), now + router->offset);
             }
             router->reconciler.advance(now + router->offset);
             executeOrders(*router, isFaulty);
             if (isFaulty && chance(5))
-                router->table.flushLate();
+                router->table.applyLate();
         }
     }
 
@@ -164,14 +164,14 @@
     Base::TimePoint now{1s};
     for (int i = 0; i < 2; ++i) {
         router.reconciler.advance(now += 1s);
-        router.reconciler.handle(router.table.end(0, Fakes::Fate::Answered), now);
+        router.reconciler.handle(router.table.end(0, Fakes::Completion::Answered), now);
     }
     router.reconciler.advance(now += 1s);
     REQUIRE(router.table.waiting() == 1);
-    router.table.land(0);
+    router.table.applyNow(0);
     REQUIRE(placement.fenceInTable() == 1);
     now += 20s;
-    router.reconciler.handle(router.table.end(0, Fakes::Fate::Answered), now);
+    router.reconciler.handle(router.table.end(0, Fakes::Completion::Answered), now);
     router.reconciler.advance(now);
     CHECK(router.sender.sent.empty());
 }
@@ -202,7 +202,7 @@
         for (const Base::TimePoint end = now + length; now < end; now += 100ms) {
             router.reconciler.advance(now);
             while (router.table.waiting() > 0)
-                router.reconciler.handle(router.table.end(0, Fakes::Fate::Answered), now);
+                router.reconciler.handle(router.table.end(0, Fakes::Completion::Answered), now);
         }
     };
     run(60s);
--- a/tests/auto/daemon/tst_callersession.cpp
+++ b/tests/auto/daemon/tst_callersession.cpp
@@ -39,7 +39,7 @@
     CHECK(std::get<Node::CallerBlocked>(events.front()).caller == slow->id());
     CHECK(ring.size() == 0);
     slow->take();
-    CHECK(isNext<Node::CallerReady>(ring));
+    CHECK(isNext<Node::CallerUnblocked>(ring));
 }
 
 TEST_CASE("Blocked and ready alternate, and a full buffer is reported in time")
@@ -55,7 +55,7 @@
                 session.take();
                 --items;
                 if (ring.size() > 0) {
-                    RC_ASSERT(isBlocked && isNext<Node::CallerReady>(ring));
+                    RC_ASSERT(isBlocked && isNext<Node::CallerUnblocked>(ring));
                     isBlocked = false;
                 }
             } else {
@@ -79,7 +79,7 @@
     sessions.hangUp(cut->id());
     CHECK_FALSE(cut->take());
     sessions.close(*cut);
-    CHECK(isNext<Node::CallerGone>(ring));
+    CHECK(isNext<Node::CallerDisconnected>(ring));
     CHECK(ring.size() == 0);
 
     const auto whole = sessions.open();
@@ -92,6 +92,6 @@
     sessions.appendAnswer(left->id(), part(1));
     left->take();
     sessions.close(*left);
-    CHECK(isNext<Node::CallerGone>(ring));
+    CHECK(isNext<Node::CallerDisconnected>(ring));
     CHECK(sessions.size() == 0);
 }
--- a/tests/auto/daemon/tst_httpfront.cpp
+++ b/tests/auto/daemon/tst_httpserver.cpp
@@ -1,6 +1,6 @@
 #include "scriptedserver.h"
 
-#include "daemon/httpfront.h"
+#include "daemon/httpserver.h"
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
@@ -226,7 +226,7 @@
         fixture.sessions().appendAnswer(asked.caller, chunk("a"));
     }
     ::close(socket);
-    CHECK(fixture.expect<Node::CallerGone>().caller == asked.caller);
+    CHECK(fixture.expect<Node::CallerDisconnected>().caller == asked.caller);
 }
 
 // Guards against a caller that makes the process grow or blocks other callers. It opens a stream
@@ -255,7 +255,7 @@
     fixture.sessions().finishAnswer(asked.caller);
     CHECK(readFrom(slow).find("[DONE]") != std::string::npos);
     ::close(slow);
-    CHECK(fixture.expect<Node::CallerReady>().caller == asked.caller);
+    CHECK(fixture.expect<Node::CallerUnblocked>().caller == asked.caller);
 }
 
 // Guards against closed connections that look as if the process had died. More callers connect than
@@ -321,7 +321,7 @@
         return answer;
     };
     const std::string hosts = answerTo(get("/v1/entry-hosts?zone=langley"), [&] {
-        const auto asked = fixture.expect<Node::EntryHostsAsked>();
+        const auto asked = fixture.expect<Node::EntryHostsRequested>();
         CHECK(asked.zone == Base::ZoneId("langley"));
         const Base::ZoneId zone("langley");
         fixture.sessions().sendEntryHosts(
@@ -334,7 +334,7 @@
     const std::string write = "PUT /v1/targets/batch HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
                               "If-Match: 3\r\nContent-Length: 23\r\n\r\n{\"startWithinMs\":70000}";
     const std::string lost = answerTo(write, [&] {
-        const auto asked = fixture.expect<Node::TargetWriteAsked>();
+        const auto asked = fixture.expect<Node::TargetWriteRequested>();
         CHECK(asked.seen == 3);
         Node::Failure it;
         it.type = Node::FailureType::LostRace;
--- a/tests/auto/node/tst_capacity.cpp
+++ b/tests/auto/node/tst_capacity.cpp
@@ -79,15 +79,15 @@
         const Base::ServerId leaving = std::next(fleet.servers().begin(), 7)->first;
         for (std::size_t other = 0; other < fleet.routers(); ++other) {
             if (other != cutOff)
-                fleet.setCut(cutOff, other, true);
+                fleet.setPartitioned(cutOff, other, true);
         }
         fleet.markLeaving(leaving.value());
         fleet.kill(cold);
         fleet.runFor(1s);
         fleet.restart(cold);
         fleet.runFor(4s);
-        const std::size_t before = fleet.server(leaving)->journal().size();
+        const std::size_t before = fleet.server(leaving)->startedSerials().size();
         fleet.runFor(15s);
-        RC_ASSERT(fleet.server(leaving)->journal().size() == before);
+        RC_ASSERT(fleet.server(leaving)->startedSerials().size() == before);
     });
 }
--- a/tests/auto/node/tst_faults.cpp
+++ b/tests/auto/node/tst_faults.cpp
@@ -1,4 +1,4 @@
-#include "support/witness.h"
+#include "support/callrecorder.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
@@ -70,7 +70,7 @@
 public:
     explicit FaultyFleet(std::uint64_t seed)
         : fleet(smallShape(seed))
-        , witness(fleet)
+        , recorder(fleet)
     {
         fleet.runFor(3s);
     }
@@ -91,7 +91,7 @@
     }
 
     VirtualFleet::Fleet fleet;
-    Fakes::Witness witness;
+    Fakes::CallRecorder recorder;
 
 private:
     void ask(int i)
@@ -101,10 +101,10 @@
         const std::size_t router = static_cast<std::size_t>(i) % 4;
         const bool isLong = i % 7 == 0;
         const std::string key = i % 5 == 0 ? "hold-" + std::to_string(i) : std::string();
-        witness.ask(router, customer, isLong ? "summaries" : "tags", 200, isLong ? 160 : 24, key);
+        recorder.ask(router, customer, isLong ? "summaries" : "tags", 200, isLong ? 160 : 24, key);
         if (i % 10 == 0)
-            witness.ask((router + 1) % 4, customer, isLong ? "summaries" : "tags", 200,
-                        isLong ? 160 : 24, key);
+            recorder.ask((router + 1) % 4, customer, isLong ? "summaries" : "tags", 200,
+                         isLong ? 160 : 24, key);
     }
 
     void apply(const FaultPlan &fault, bool isBegin)
@@ -119,7 +119,7 @@
                 fleet.restart(fault.target);
             break;
         case Fault::CutRouters:
-            fleet.setCut(fault.target, fault.other, isBegin);
+            fleet.setPartitioned(fault.target, fault.other, isBegin);
             break;
         case Fault::FreezeRouter:
             if (fleet.router(fault.target))
@@ -135,13 +135,13 @@
             server->second->setSlowness(isBegin ? 20 : 1);
             break;
         case Fault::CutStreams:
-            fleet.cutStreams(server->first);
+            fleet.dropConnections(server->first);
             break;
         case Fault::LoseMessages:
             fleet.setLossShare(isBegin ? 0.3 : 0);
             break;
         case Fault::DoubleMessages:
-            fleet.setDoubleShare(isBegin ? 0.3 : 0);
+            fleet.setDuplicateShare(isBegin ? 0.3 : 0);
             break;
         case Fault::TableDown:
             fleet.table().setMode(isBegin ? VirtualFleet::VirtualTable::Mode::Down
@@ -156,22 +156,22 @@
 };
 
 /// Checks what must hold for each request under any fault.
-void checkAll(const Fakes::Witness &witness)
+void checkAll(const Fakes::CallRecorder &recorder)
 {
     std::map<std::string, std::size_t> runsOfKey;
-    for (const auto &[caller, testimony] : witness.all) {
-        const std::size_t runs = witness.timesRun(caller);
-        if (!testimony.isRepeatable)
-            runsOfKey[testimony.key] += runs;
-        if (testimony.isFinished) {
+    for (const auto &[caller, record] : recorder.records) {
+        const std::size_t runs = recorder.timesRun(caller);
+        if (!record.isRepeatable)
+            runsOfKey[record.key] += runs;
+        if (record.isFinished) {
             // A repeated call with an idempotency key may get the stored answer of the first call.
-            RC_ASSERT(testimony.failures.empty());
-            RC_ASSERT(!testimony.isRepeatable || testimony.isWhole());
+            RC_ASSERT(record.failures.empty());
+            RC_ASSERT(!record.isRepeatable || record.isWhole());
         }
-        RC_ASSERT(testimony.failures.size() <= 1);
-        if (witness.isEntryAlive(testimony) && !testimony.hasFinalAnswer())
+        RC_ASSERT(record.failures.size() <= 1);
+        if (recorder.isEntryAlive(record) && !record.hasFinalAnswer())
             RC_FAIL("request " + std::to_string(caller) + " has no final answer");
-        if (!testimony.failures.empty() && testimony.failures.front().ran == Node::Ran::No)
+        if (!record.failures.empty() && record.failures.front().ran == Node::Ran::No)
             RC_ASSERT(runs == 0);
     }
     for (const auto &[key, runs] : runsOfKey)
@@ -196,6 +196,6 @@
             faulty.plan(fault);
         faulty.load();
         faulty.fleet.runFor(120s);
-        checkAll(faulty.witness);
+        checkAll(faulty.recorder);
     });
 }
--- a/tests/auto/scheduling/tst_admission.cpp
+++ b/tests/auto/scheduling/tst_admission.cpp
@@ -27,10 +27,10 @@
     pool.run(4, 100, 1, 1000);
     pool.run(4, 100, 200, 20000);
     for (std::size_t i = 1; i < 4; ++i) {
-        CHECK(pool.seen[customerNamed(i)].refused == 0);
-        CHECK(pool.seen[customerNamed(i)].longestWait <= Milliseconds(500));
+        CHECK(pool.byCustomer[customerNamed(i)].refused == 0);
+        CHECK(pool.byCustomer[customerNamed(i)].longestWait <= Milliseconds(500));
     }
-    const CustomerSeen &flooder = pool.seen[customerNamed(0)];
+    const CustomerStats &flooder = pool.byCustomer[customerNamed(0)];
     CHECK(flooder.refused > 30000);
     // The wait that was predicted while no other customer waits is at most 4 * 500 ms, at 80
     // permits a second. It gets longer when the other customers take 30 of the 80.
@@ -50,7 +50,7 @@
     AdmittedPool pool(8, 4);
     pool.run(1, 1000, 1, 60000);
     pool.run(1, 1000, 100, 60001);
-    CHECK(pool.seen[customerNamed(0)].refused == 0);
+    CHECK(pool.byCustomer[customerNamed(0)].refused == 0);
 }
 
 TEST_CASE("many flooding customers leave room for one more", "[scheduling]")
--- a/tests/auto/scheduling/tst_concurrencylimiter.cpp
+++ b/tests/auto/scheduling/tst_concurrencylimiter.cpp
@@ -15,7 +15,7 @@
     EngineShape shape;
     shape.seed = *rc::gen::arbitrary<std::uint64_t>();
     shape.slots = *rc::gen::inRange<std::size_t>(1, 200);
-    shape.meanWhole = *rc::gen::inRange(200, 3000);
+    shape.meanAnswerTime = *rc::gen::inRange(200, 3000);
     shape.reportLag = *rc::gen::inRange(0, 1500);
     shape.noise = *rc::gen::inRange<std::size_t>(0, 3);
     return shape;
--- a/tests/auto/scheduling/tst_placement.cpp
+++ b/tests/auto/scheduling/tst_placement.cpp
@@ -93,7 +93,7 @@
     // Guards against one home that is overloaded while the others are idle, a different one each
     // second, because all entry hosts send to the shard with the shortest queue in the last
     // heartbeat.
-    const ShardsSeen damped = ShardsModel(8, {}).run(0.95, false, 120000);
+    const ShardStats damped = ShardsModel(8, {}).run(0.95, false, 120000);
     CHECK(ShardsModel(8, undamped()).run(0.95, false, 120000).longestWait > 1.2);
     CHECK(damped.longestWait < 1.0);
     CHECK(ShardsModel(200, {}).run(0.95, false, 120000).longestWait < 1.0);
--- a/tests/auto/wire/tst_peercodec.cpp
+++ b/tests/auto/wire/tst_peercodec.cpp
@@ -12,7 +12,8 @@
 using namespace Wire;
 namespace Proto = lagoonmast::wire;
 
-std::string serialized(const BatchEnds &endpoints, const std::vector<Node::PeerMessage> &messages)
+std::string serialized(const BatchEndpoints &endpoints,
+                       const std::vector<Node::PeerMessage> &messages)
 {
     Proto::Batch batch;
     startBatch(batch, endpoints);
@@ -52,7 +53,8 @@
 TEST_CASE("Decoding restores the encoded messages")
 {
     rc::prop("arbitrary messages of one batch", [] {
-        const BatchEnds endpoints{Arbitrary::host(), Arbitrary::incarnation(), Arbitrary::host()};
+        const BatchEndpoints endpoints{Arbitrary::host(), Arbitrary::incarnation(),
+                                       Arbitrary::host()};
         std::vector<Node::PeerMessage> messages;
         const int n = *rc::gen::inRange(0, 6);
         for (int i = 0; i < n; ++i)
@@ -72,7 +74,7 @@
         RC_ASSERT(decoded.batch.has_value() != decoded.fault.has_value());
     });
     rc::prop("a valid batch with damaged bytes", [] {
-        const BatchEnds endpoints{Arbitrary::host(), 1, Arbitrary::host()};
+        const BatchEndpoints endpoints{Arbitrary::host(), 1, Arbitrary::host()};
         std::string bytes = serialized(endpoints, {Arbitrary::message(endpoints.sender, 1),
                                                    Arbitrary::message(endpoints.sender, 1)});
         const int damages = *rc::gen::inRange(1, 4);
@@ -90,7 +92,7 @@
 // answers the old one. A grant that leaves out the incarnation would match the new request.
 TEST_CASE("A grant for an earlier incarnation of the receiver keeps that incarnation")
 {
-    const BatchEnds endpoints{Base::HostId("r2"), 5, Base::HostId("r1")};
+    const BatchEndpoints endpoints{Base::HostId("r2"), 5, Base::HostId("r1")};
     const Node::PermitGrant old{attemptOf("r1", 100), Base::PoolId("model/a"), 0,
                                 Base::ServerId("m1")};
     const Node::PermitGrant present{attemptOf("r1", 200), Base::PoolId("model/a"), 0,
@@ -102,8 +104,8 @@
 
 TEST_CASE("Names of the sender and the receiver are left out")
 {
-    const BatchEnds endpoints{Base::HostId("a-host-with-a-long-name"), 1796243984000000,
-                              Base::HostId("another-host-with-a-long-name")};
+    const BatchEndpoints endpoints{Base::HostId("a-host-with-a-long-name"), 1796243984000000,
+                                   Base::HostId("another-host-with-a-long-name")};
     const auto bytesOf = [&](const std::string &entry, Base::Incarnation incarnation) {
         const Node::PermitCancel cancel{attemptOf(entry, incarnation), Base::PoolId("p"), 0};
         return serialized(endpoints, {cancel, cancel}).size();
--- a/tests/support/witness.h
+++ b/tests/support/callrecorder.h
@@ -12,7 +12,7 @@
 namespace Fakes {
 
 /// One request and what its caller received.
-struct Testimony
+struct CallRecord
 {
     VirtualFleet::Work work;
     std::size_t router = 0;
@@ -38,10 +38,10 @@
 };
 
 /// Sends requests to a virtual fleet and records the answer to each.
-class Witness final : public VirtualFleet::CallerListener
+class CallRecorder final : public VirtualFleet::CallerListener
 {
 public:
-    explicit Witness(VirtualFleet::Fleet &fleet)
+    explicit CallRecorder(VirtualFleet::Fleet &fleet)
         : m_fleet(&fleet)
     {
         fleet.setListener(this);
@@ -56,16 +56,16 @@
         const Node::CallerId caller = ++m_last;
         if (!m_fleet->router(router))
             return 0;
-        Testimony &testimony = all[caller];
-        testimony.work = {customer, promptTokens, generatedTokens, caller};
-        testimony.router = router;
-        testimony.incarnation = m_fleet->router(router)->incarnation();
-        testimony.isRepeatable = key.empty();
-        testimony.key = key;
+        CallRecord &record = records[caller];
+        record.work = {customer, promptTokens, generatedTokens, caller};
+        record.router = router;
+        record.incarnation = m_fleet->router(router)->incarnation();
+        record.isRepeatable = key.empty();
+        record.key = key;
         Node::CallerRequest request;
         request.caller = caller;
         request.target = "m";
-        request.body = VirtualFleet::encodeWork(testimony.work);
+        request.body = VirtualFleet::encodeWork(record.work);
         request.isStreaming = true;
         request.keyDigest = VirtualFleet::keyDigestOf(customer);
         request.workClass = Base::ClassId(workClass);
@@ -78,10 +78,10 @@
     }
 
     /// Whether the router that took the request has neither restarted nor frozen since.
-    bool isEntryAlive(const Testimony &testimony) const
+    bool isEntryAlive(const CallRecord &record) const
     {
-        const VirtualFleet::VirtualRouter *router = m_fleet->router(testimony.router);
-        return router && !router->isFrozen() && router->incarnation() == testimony.incarnation;
+        const VirtualFleet::VirtualRouter *router = m_fleet->router(record.router);
+        return router && !router->isFrozen() && router->incarnation() == record.incarnation;
     }
 
     /// How often the backend servers started the request with this \a serial.
@@ -89,8 +89,9 @@
     {
         std::size_t times = 0;
         for (const auto &[id, server] : m_fleet->servers()) {
-            const std::vector<std::uint64_t> &journal = server->journal();
-            times += static_cast<std::size_t>(std::count(journal.begin(), journal.end(), serial));
+            const std::vector<std::uint64_t> &startedSerials = server->startedSerials();
+            times += static_cast<std::size_t>(
+                std::count(startedSerials.begin(), startedSerials.end(), serial));
         }
         return times;
     }
@@ -98,15 +99,15 @@
     void started(Node::CallerId) override {}
     void part(Node::CallerId caller, const std::string &payload) override
     {
-        all[caller].parts.push_back(payload);
+        records[caller].parts.push_back(payload);
     }
-    void finished(Node::CallerId caller) override { all[caller].isFinished = true; }
+    void finished(Node::CallerId caller) override { records[caller].isFinished = true; }
     void failed(Node::CallerId caller, const Node::Failure &failure) override
     {
-        all[caller].failures.push_back(failure);
+        records[caller].failures.push_back(failure);
     }
 
-    std::map<Node::CallerId, Testimony> all;
+    std::map<Node::CallerId, CallRecord> records;
 
 private:
     VirtualFleet::Fleet *m_fleet;
--- a/tests/support/fakes.h
+++ b/tests/support/fakes.h
@@ -26,7 +26,7 @@
 };
 
 /// Records the answers that a node sends to its callers.
-class Callers final : public Node::CallerPort
+class Callers final : public Node::CallerSink
 {
 public:
     void startAnswer(Node::CallerId caller, const Node::AnswerHead &head) override
--- a/tests/support/loadedfleet.h
+++ b/tests/support/loadedfleet.h
@@ -46,7 +46,7 @@
                 meter.served(work, units);
             });
             server->onStart(
-                [this](const VirtualFleet::Work &work) { workload.begunAtServer(work.serial); });
+                [this](const VirtualFleet::Work &work) { workload.startedAtServer(work.serial); });
         }
         workload.start();
         fleet.runFor(std::chrono::seconds(2));
--- a/tests/support/manualtable.h
+++ b/tests/support/manualtable.h
@@ -8,13 +8,13 @@
 namespace Fakes {
 
 /// How one call of the table completes.
-enum class Fate {
-    Answered,          ///< The call takes effect and returns its result.
-    Refused,           ///< The call returns NotDone and never takes effect.
-    LostBefore,        ///< The call returns Unknown and never takes effect.
-    LostAfter,         ///< The call returns Unknown although it takes effect.
-    LostAndLate,       ///< The call returns Unknown and takes effect in flushLate().
-    AnsweredFromBefore ///< A read returns the rows as they were when it was sent.
+enum class Completion {
+    Answered,    ///< The call takes effect and returns its result.
+    Refused,     ///< The call returns NotDone and never takes effect.
+    RequestLost, ///< The call returns Unknown and never takes effect.
+    AnswerLost,  ///< The call returns Unknown although it takes effect.
+    AppliedLate, ///< The call returns Unknown and takes effect in applyLate().
+    StaleRead    ///< A read returns the rows as they were when it was sent.
 };
 
 /// One node's connection to the shared table. The test decides when each call completes, in which
@@ -48,38 +48,38 @@
     std::size_t waiting() const { return m_calls.size(); }
 
     /// Completes the call at position \a at in the order of sending, and returns its outcome.
-    Storage::TableOutcome end(std::size_t at, Fate fate)
+    Storage::TableOutcome end(std::size_t at, Completion completion)
     {
         Call call = m_calls[at];
         m_calls.erase(m_calls.begin() + static_cast<long>(at));
         Storage::TableOutcome lost{call.operation, Storage::TableStatus::Unknown, {}};
-        switch (fate) {
-        case Fate::Answered:
+        switch (completion) {
+        case Completion::Answered:
             return call.run();
-        case Fate::Refused:
+        case Completion::Refused:
             return {call.operation, Storage::TableStatus::NotDone, {}};
-        case Fate::LostBefore:
+        case Completion::RequestLost:
             return lost;
-        case Fate::LostAfter:
+        case Completion::AnswerLost:
             call.run();
             return lost;
-        case Fate::LostAndLate:
+        case Completion::AppliedLate:
             m_late.push_back(call.run);
             return lost;
-        case Fate::AnsweredFromBefore:
+        case Completion::StaleRead:
             return call.isWrite ? call.run() : call.outcomeAtSending;
         }
         return lost;
     }
 
     /// Applies the call at position \a at; its outcome is returned later by end().
-    void land(std::size_t at)
+    void applyNow(std::size_t at)
     {
         m_calls[at].run = [outcome = m_calls[at].run()]() mutable { return outcome; };
     }
 
-    /// Applies every call that completed with LostAndLate.
-    void flushLate()
+    /// Applies every call that completed with AppliedLate.
+    void applyLate()
     {
         for (const auto &run : m_late)
             run();
--- a/tools/coordinationmeasure/main.cpp
+++ b/tools/coordinationmeasure/main.cpp
@@ -25,8 +25,8 @@
 /// Returns the bytes that \a message adds to a batch between two routers.
 std::size_t wireSize(const Node::PeerMessage &message)
 {
-    const Wire::BatchEnds batchEnds{Base::HostId("router-17"), 1764700000000,
-                                    Base::HostId("router-4")};
+    const Wire::BatchEndpoints batchEnds{Base::HostId("router-17"), 1764700000000,
+                                         Base::HostId("router-4")};
     lagoonmast::wire::Batch batch;
     Wire::startBatch(batch, batchEnds);
     return Wire::appendMessage(batch, batchEnds, message);
@@ -144,7 +144,7 @@
         for (auto &router : routers) {
             router->replica.advance(now);
             while (router->connection.waiting() > 0)
-                router->replica.handle(router->connection.end(0, Fakes::Fate::Answered), now);
+                router->replica.handle(router->connection.end(0, Fakes::Completion::Answered), now);
         }
         for (std::size_t from = 0; from < count; ++from) {
             if (tick % 50 != routers[from]->phase)
--- a/tools/measure/main.cpp
+++ b/tools/measure/main.cpp
@@ -93,14 +93,14 @@
         meter.served(work, units);
     });
     server.onStart(
-        [&workload](const VirtualFleet::Work &work) { workload.begunAtServer(work.serial); });
+        [&workload](const VirtualFleet::Work &work) { workload.startedAtServer(work.serial); });
 }
 
 /// Returns the bytes that \a message adds to a batch between two routers.
 std::size_t wireSize(const Node::PeerMessage &message)
 {
     lagoonmast::wire::Batch batch;
-    const Wire::BatchEnds ends{Base::HostId("r0"), 1, Base::HostId("r1")};
+    const Wire::BatchEndpoints ends{Base::HostId("r0"), 1, Base::HostId("r1")};
     return Wire::appendMessage(batch, ends, message);
 }
 
--- a/tools/measure/workload.cpp
+++ b/tools/measure/workload.cpp
@@ -161,7 +161,7 @@
     m_queue->after(retryDelay, [this, tracked] { sendTracked(tracked); });
 }
 
-void Workload::begunAtServer(Node::CallerId caller)
+void Workload::startedAtServer(Node::CallerId caller)
 {
     const auto it = m_trackedRequests.find(caller);
     if (it != m_trackedRequests.end())
--- a/tools/measure/workload.h
+++ b/tools/measure/workload.h
@@ -95,7 +95,7 @@
     void finished(Node::CallerId caller) override;
     void failed(Node::CallerId caller, const Node::Failure &failure) override;
     /// Records that a backend server started the request.
-    void begunAtServer(Node::CallerId caller);
+    void startedAtServer(Node::CallerId caller);
 
 private:
     /// Sends a request of a random kind and size.
--- a/tools/measurescheduling/main.cpp
+++ b/tools/measurescheduling/main.cpp
@@ -77,8 +77,8 @@
         AdmittedPool pool(8, factor);
         pool.run(4, 100, 1, 1000);
         pool.run(4, 100, 200, 20000);
-        const CustomerSeen &flooder = pool.seen[customerNamed(0)];
-        const CustomerSeen &small = pool.seen[customerNamed(1)];
+        const CustomerStats &flooder = pool.byCustomer[customerNamed(0)];
+        const CustomerStats &small = pool.byCustomer[customerNamed(1)];
         std::cout << "factor " << factor << ": flooder started " << flooder.started << " refused "
                   << flooder.refused << " longest wait " << flooder.longestWait.count()
                   << " ms; small started " << small.started << " refused " << small.refused
@@ -118,7 +118,7 @@
             policy.damping = Milliseconds(damping) + std::chrono::microseconds(1);
             for (const bool hasHandover : {false, true}) {
                 ShardsModel model(entries, policy);
-                const ShardsSeen stats = model.run(0.95, hasHandover, 120000);
+                const ShardStats stats = model.run(0.95, hasHandover, 120000);
                 std::cout << entries << " entries, damping " << damping << " ms, handover "
                           << hasHandover << ": busy " << stats.busy << ", longest wait "
                           << stats.longestWait << " s, idle while work waited "
--- a/tools/schedulingmodels/admittedpool.h
+++ b/tools/schedulingmodels/admittedpool.h
@@ -16,7 +16,7 @@
 using namespace Scheduling;
 
 /// What a run measured of one customer.
-struct CustomerSeen
+struct CustomerStats
 {
     std::size_t started = 0;
     /// Requests that started after their start target.
@@ -54,7 +54,7 @@
         }
     }
 
-    std::map<Base::CustomerId, CustomerSeen> seen;
+    std::map<Base::CustomerId, CustomerStats> byCustomer;
     /// Steps in which a slot was free although work waited.
     std::size_t idle = 0;
 
@@ -79,7 +79,7 @@
         pool.freePermits = m_slots - m_endTimes.size();
         pool.drainRate = m_drain.rate(m_slots);
         if (m_admission.refusalFor(work, pool, at(m_now), m_random)) {
-            ++seen[customer].refused;
+            ++byCustomer[customer].refused;
             return;
         }
         if (const auto least = m_queue.leastServed(m_service))
@@ -93,7 +93,7 @@
     {
         while (!m_queue.isEmpty() && m_endTimes.size() < m_slots) {
             const WaitingWork work = *m_queue.takeNext(m_service, FakeClaims(), at(m_now));
-            CustomerSeen &customer = seen[work.customer];
+            CustomerStats &customer = byCustomer[work.customer];
             ++customer.started;
             customer.late += work.startBy < at(m_now) ? 1 : 0;
             const auto wait = std::chrono::duration_cast<Milliseconds>(at(m_now) - work.arrivedAt);
--- a/tools/schedulingmodels/enginemodel.h
+++ b/tools/schedulingmodels/enginemodel.h
@@ -20,7 +20,7 @@
     std::uint64_t seed = 1;
     std::size_t slots = 32;
     /// Mean time of an answer; a single answer takes between a tenth and three times as long.
-    std::int64_t meanWhole = 800;
+    std::int64_t meanAnswerTime = 800;
     /// Age of a load report when it arrives.
     std::int64_t reportLag = 400;
     std::int64_t roundTrip = 4;
@@ -120,7 +120,7 @@
         while (!m_queue.empty() && m_running.size() < shape.slots) {
             const std::int64_t percent = m_random() % 8 == 0 ? 300 : 10 + m_random() % 120;
             const std::int64_t answerTime =
-                isFailing ? 1 : shape.meanWhole * slowness * percent / 100;
+                isFailing ? 1 : shape.meanAnswerTime * slowness * percent / 100;
             m_running.push_back(
                 {m_queue.front(), m_now, m_now + std::max<std::int64_t>(1, answerTime)});
             m_queue.pop_front();
--- a/tools/schedulingmodels/shardsmodel.h
+++ b/tools/schedulingmodels/shardsmodel.h
@@ -12,7 +12,7 @@
 using namespace Scheduling;
 
 /// What a run measured over all shards after its first 10 s.
-struct ShardsSeen
+struct ShardStats
 {
     /// Share of slot time in use.
     double busy = 0;
@@ -39,9 +39,9 @@
 
     /// Runs for \a milliseconds with requests for the share \a load of all slots. \a hasHandover
     /// tells whether homes hand waiting work to other homes.
-    ShardsSeen run(double load, bool hasHandover, std::int64_t milliseconds)
+    ShardStats run(double load, bool hasHandover, std::int64_t milliseconds)
     {
-        ShardsSeen stats;
+        ShardStats stats;
         double busy = 0;
         double slotSteps = 0;
         double idle = 0;
--- a/tools/slopes/homeslopes.cpp
+++ b/tools/slopes/homeslopes.cpp
@@ -124,13 +124,13 @@
     for (std::uint64_t serial = 1; serial <= count; ++serial) {
         Node::OpenRequest request;
         request.key = {Base::HostId("router-17"), 1764700000000, serial};
-        request.asked.target = "general-7b";
-        request.asked.body = std::string(bodyBytes, 'x');
-        request.asked.keyDigest = std::string(64, 'a');
-        request.asked.workClass = Base::ClassId("replies");
-        request.asked.traceparent = std::string(55, '0');
+        request.callerRequest.target = "general-7b";
+        request.callerRequest.body = std::string(bodyBytes, 'x');
+        request.callerRequest.keyDigest = std::string(64, 'a');
+        request.callerRequest.workClass = Base::ClassId("replies");
+        request.callerRequest.traceparent = std::string(55, '0');
         request.customer = Base::CustomerId("customer-" + std::to_string(serial));
-        request.target = {request.asked.workClass, 1500ms, std::nullopt};
+        request.target = {request.callerRequest.workClass, 1500ms, std::nullopt};
         request.pool = pool;
         request.home = Base::HostId("router-4");
         request.server = Base::ServerId("model-server-" + std::to_string(serial));
--- a/tools/slopes/instruments.cpp
+++ b/tools/slopes/instruments.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-const Wire::BatchEnds &batchEnds()
+const Wire::BatchEndpoints &batchEnds()
 {
-    static const Wire::BatchEnds value{Base::HostId("router-17"), 1764700000000,
-                                       Base::HostId("router-4")};
+    static const Wire::BatchEndpoints value{Base::HostId("router-17"), 1764700000000,
+                                            Base::HostId("router-4")};
     return value;
 }
 
--- a/tools/virtualfleet/fleet.cpp
+++ b/tools/virtualfleet/fleet.cpp
@@ -64,7 +64,7 @@
     m_routers[index]->handle(Node::HostListArrived{listing()});
 }
 
-void Fleet::setCut(std::size_t a, std::size_t b, bool isPartitioned)
+void Fleet::setPartitioned(std::size_t a, std::size_t b, bool isPartitioned)
 {
     const std::pair<std::size_t, std::size_t> pair = std::minmax(a, b);
     if (isPartitioned)
@@ -94,7 +94,7 @@
     breakTransfers(id, true);
 }
 
-void Fleet::cutStreams(const Base::ServerId &id)
+void Fleet::dropConnections(const Base::ServerId &id)
 {
     breakTransfers(id, false);
 }
--- a/tools/virtualfleet/fleet.h
+++ b/tools/virtualfleet/fleet.h
@@ -48,7 +48,7 @@
     /// Starts a router anew with empty state and an incarnation that is larger by one.
     void restart(std::size_t index);
     /// Partitions the network between two routers in both directions, or heals the partition.
-    void setCut(std::size_t a, std::size_t b, bool isPartitioned);
+    void setPartitioned(std::size_t a, std::size_t b, bool isPartitioned);
     bool isPartitioned(std::size_t a, std::size_t b) const;
 
     std::map<Base::ServerId, std::unique_ptr<ModelServer>> &servers() { return m_servers; }
@@ -59,13 +59,13 @@
     void setServerDead(const Base::ServerId &id, bool isDead);
     /// Closes the connections to a server that keeps running its streams, so that routers can
     /// resume them.
-    void cutStreams(const Base::ServerId &id);
+    void dropConnections(const Base::ServerId &id);
     bool isServerDead(const Base::ServerId &id) const { return m_deadServers.count(id) > 0; }
     /// Sets the share (0 to 1) of messages between routers that are lost from now on.
     void setLossShare(double share) { m_shape.lossShare = share; }
     /// Sets the share (0 to 1) of messages between routers, and of answers of servers, that are
     /// delivered twice from now on.
-    void setDoubleShare(double share) { m_shape.duplicateShare = share; }
+    void setDuplicateShare(double share) { m_shape.duplicateShare = share; }
     /// Returns true with the probability \a share, from the fleet's random source.
     bool drawChance(double share);
     /// Lists the router or server \a host as leaving from the next list of hosts on.
--- a/tools/virtualfleet/modelserver.h
+++ b/tools/virtualfleet/modelserver.h
@@ -54,7 +54,7 @@
     ModelServer(EventQueue &queue, const EngineShape &shape);
 
     /// Returns the Work::serial of every request that the engine started, in order of the starts.
-    const std::vector<std::uint64_t> &journal() const { return m_startedSerials; }
+    const std::vector<std::uint64_t> &startedSerials() const { return m_startedSerials; }
     /// Calls \a listener with the units of every part that the engine generates.
     void onService(ServiceListener listener) { m_serviceListener = std::move(listener); }
 
--- a/tools/virtualfleet/virtualrouter.h
+++ b/tools/virtualfleet/virtualrouter.h
@@ -21,7 +21,7 @@
 
 /// One run of one router's process, from start to kill: a node core with fakes at its interfaces in
 /// virtual time. A restart of the router is a new VirtualRouter.
-class VirtualRouter final : private Node::CallerPort,
+class VirtualRouter final : private Node::CallerSink,
                             private Node::PeerTransport,
                             private Node::BackendClient,
                             private Storage::ObjectStore,
