--- a/src/libs/coordination/ledgerdelta.h
+++ b/src/libs/coordination/ledgerdelta.h
@@ -46,7 +46,7 @@
 struct LedgerEntry
 {
     Base::CustomerId customer;
-    /// Weighed tokens charged at the sender in this round and this start of the sender.
+    /// Weighted tokens charged at the sender in this round and this start of the sender.
     Base::ServiceUnits charged = 0;
     /// Position at which the customer entered the round plus all lifts since then; the largest
     /// value that the sender knows.
--- a/src/libs/coordination/serviceledger.h
+++ b/src/libs/coordination/serviceledger.h
@@ -21,7 +21,7 @@
 /// Limits and intervals of a ServiceLedger.
 struct LedgerPolicy
 {
-    /// Largest debt of a customer, in weighed tokens. The debt is the distance of its position
+    /// Largest debt of a customer, in weighted tokens. The debt is the distance of its position
     /// ahead of the floor; what exceeds the limit is forgiven, so that the customer does not
     /// starve when partitioned routers rejoin. The value is about one second of service by
     /// twenty model servers that generate 2,000 tokens a second each.
@@ -60,7 +60,7 @@
 /// home routers (a home grants the permits for one shard of the pool). With a separate count at
 /// each home, a customer with work at n homes would get n shares.
 ///
-/// Each customer has a position, in weighed tokens; the customer with the smallest position is
+/// Each customer has a position, in weighted tokens; the customer with the smallest position is
 /// served first. The floor is the smallest position among the waiting customers.
 ///
 ///     position = lifted + settled + charged by every live start - forgiven + held
@@ -80,7 +80,7 @@
                                               Base::Incarnation incarnation,
                                               const Base::PoolId &pool);
 
-    /// Returns the customer's position in weighed tokens. An unknown customer has the highest
+    /// Returns the customer's position in weighted tokens. An unknown customer has the highest
     /// floor known, at which it would be added.
     Base::ServiceUnits position(const Base::CustomerId &customer) const override;
 
--- a/src/libs/node/backendclient.h
+++ b/src/libs/node/backendclient.h
@@ -61,7 +61,7 @@
     /// Index in the stream, from 0. A part that is not the next one is dropped.
     std::uint64_t index = 0;
     std::string payload;
-    /// Weighed tokens that this part adds to the service received.
+    /// Weighted tokens that this part adds to the service received.
     Base::ServiceUnits units = 0;
 };
 
--- a/src/libs/node/nodeobserver.h
+++ b/src/libs/node/nodeobserver.h
@@ -42,7 +42,7 @@
     Base::Duration firstPart{0};
     /// Time from arrival to the end.
     Base::Duration whole{0};
-    /// Weighed tokens received under all attempts.
+    /// Weighted tokens received under all attempts.
     Base::ServiceUnits units = 0;
     /// Number of attempts that requested a permit or were sent.
     std::uint32_t attempts = 0;
--- a/src/libs/node/nodesettings.h
+++ b/src/libs/node/nodesettings.h
@@ -45,7 +45,7 @@
     Base::Duration loadPollInterval = std::chrono::milliseconds(500);
     Base::Duration ledgerInterval = std::chrono::milliseconds(500);
     /// While a stream runs, the entry host reports its service to the home each time this many
-    /// weighed tokens are not yet reported.
+    /// weighted tokens are not yet reported.
     Base::ServiceUnits chargeStep = 500;
 };
 
--- a/src/libs/node/openrequest.h
+++ b/src/libs/node/openrequest.h
@@ -65,11 +65,11 @@
 
     std::uint64_t nextPart = 0;
     std::string streamName;
-    /// Weighed tokens received under the current permit.
+    /// Weighted tokens received under the current permit.
     Base::ServiceUnits received = 0;
     /// The part of them that was reported to the home.
     Base::ServiceUnits charged = 0;
-    /// Weighed tokens received under earlier permits.
+    /// Weighted tokens received under earlier permits.
     Base::ServiceUnits receivedBefore = 0;
     /// The answer so far, collected only for work that is not repeatable, so that a repeated call
     /// gets the same answer.
--- a/src/libs/node/poolhome.h
+++ b/src/libs/node/poolhome.h
@@ -95,7 +95,7 @@
     std::size_t permitLimit() const;
     std::vector<Base::ServerId> servers() const;
     std::vector<ServerUsage> serverUsage() const;
-    /// Difference in weighed tokens between the most and the least served customer with waiting
+    /// Difference in weighted tokens between the most and the least served customer with waiting
     /// work; 0 if fewer than two customers have waiting work.
     Base::ServiceUnits fairnessGap() const;
 
--- a/src/libs/node/requesttraits.h
+++ b/src/libs/node/requesttraits.h
@@ -9,7 +9,7 @@
 
 /// Returns the pool whose backend servers can run the request.
 Base::PoolId poolOf(const CallerRequest &callerRequest);
-/// Returns the estimated cost in weighed tokens, from the number of prompt tokens and the caller's
+/// Returns the estimated cost in weighted tokens, from the number of prompt tokens and the caller's
 /// limit on generated tokens.
 Base::ServiceUnits expectedCost(const CallerRequest &callerRequest);
 /// Returns a hash of target, path and body. Two calls with one idempotency key count as the same
--- a/tests/auto/node/tst_fairness.cpp
+++ b/tests/auto/node/tst_fairness.cpp
@@ -12,16 +12,16 @@
 constexpr std::size_t servers = 3;
 constexpr std::size_t slots = 2;
 constexpr double permits = servers * slots;
-/// Largest cost of a request in weighed tokens. The workload limits each cost to four times its
+/// Largest cost of a request in weighted tokens. The workload limits each cost to four times its
 /// mean: 4 * (50 + 4 * 25).
 constexpr double maxCost = 600;
-/// Weighed tokens that all slots together generate per second.
+/// Weighted tokens that all slots together generate per second.
 constexpr double poolTokensPerSecond = permits * 4 / 0.025;
 /// Time in seconds from the loss of a home until another router grants its permits: failure
 /// detection, digest interval and ledger interval.
 constexpr double takeoverSeconds = 1.6 + 0.5 + 0.5;
 
-/// Bound on the gap in received service between two backlogged customers, in weighed tokens.
+/// Bound on the gap in received service between two backlogged customers, in weighted tokens.
 ///
 /// At any time one customer leads another by at most W + h + P * L: the window, the largest held
 /// cost, and the largest cost for each permit (docs/design/queue-order.md). Over an interval a
--- a/tools/measure/meter.h
+++ b/tools/measure/meter.h
@@ -11,7 +11,7 @@
 
 namespace Measure {
 
-/// Fairness gap over all samples, in weighed tokens.
+/// Fairness gap over all samples, in weighted tokens.
 struct GapFigures
 {
     double largest = 0;
@@ -31,7 +31,7 @@
     void start();
 
     /// Returns the difference of the service that any two customers received while both stayed
-    /// backlogged, in weighed tokens.
+    /// backlogged, in weighted tokens.
     GapFigures gap() const;
     /// Returns the share of slots in use, over the samples in which any request waited; 1 if none
     /// waited.
@@ -40,7 +40,7 @@
     double meanUtilisation() const;
     /// Returns the share of samples in which any request waited.
     double waitingShare() const;
-    /// Returns the service that each customer received, in weighed tokens.
+    /// Returns the service that each customer received, in weighted tokens.
     const std::vector<Base::ServiceUnits> &service() const { return m_service; }
 
 private:
--- a/tools/virtualfleet/work.h
+++ b/tools/virtualfleet/work.h
@@ -19,7 +19,7 @@
     /// wrong caller.
     std::uint64_t serial = 0;
 
-    /// Returns the cost in weighed tokens, in which a generated token counts more than a prompt
+    /// Returns the cost in weighted tokens, in which a generated token counts more than a prompt
     /// token.
     Base::ServiceUnits units() const;
 };
