--- a/src/libs/gateway/exchange.cpp
+++ b/src/libs/gateway/exchange.cpp
@@ -157,14 +157,14 @@
     return std::min(m_accepted.request.readAt + route().timeout, m_accepted.deadline);
 }
 
-void Exchange::turnedAway(const Routing::TurnedAway &why)
+void Exchange::rejected(const Routing::Rejection &why)
 {
     if (m_state != State::Waiting)
         return;
-    m_turnedAway = why;
-    const FailureType type = why.reason == Routing::TurnedAwayReason::NoServer
+    m_rejection = why;
+    const FailureType type = why.reason == Routing::RejectionReason::NoServer
                                  ? FailureType::NoServer
-                                 : FailureType::TurnedAway;
+                                 : FailureType::Rejection;
     fail({type, m_mayHaveRun, why.retryAfter});
 }
 
@@ -373,7 +373,7 @@
         return;
     }
     const bool isNoRoom = outcome == AttemptOutcome::NoRoom;
-    fail({isNoRoom ? FailureType::TurnedAway : FailureType::ServerFailed, m_mayHaveRun,
+    fail({isNoRoom ? FailureType::Rejection : FailureType::ServerFailed, m_mayHaveRun,
           defaultRetryAfter});
 }
 
@@ -499,11 +499,11 @@
         .add("firstMs",
              m_eventCount > 0 ? m_firstEventAt - m_accepted.request.readAt : Base::Duration(0))
         .add("wholeMs", now - m_accepted.request.readAt);
-    if (m_turnedAway) {
-        line.add("why", Routing::nameOf(m_turnedAway->reason))
-            .add("received", m_turnedAway->received)
-            .add("shareLevel", m_turnedAway->shareLevel)
-            .add("retryAfterMs", Base::Duration(m_turnedAway->retryAfter));
+    if (m_rejection) {
+        line.add("why", Routing::nameOf(m_rejection->reason))
+            .add("received", m_rejection->received)
+            .add("shareLevel", m_rejection->shareLevel)
+            .add("retryAfterMs", Base::Duration(m_rejection->retryAfter));
     }
     m_port->log().write(line, now);
 }
--- a/src/libs/gateway/exchange.h
+++ b/src/libs/gateway/exchange.h
@@ -23,7 +23,7 @@
 {
 public:
     virtual ~ExchangePort() = default;
-    /// Submits work for placement. Exchange::placed() or turnedAway() is called as a result, at
+    /// Submits work for placement. Exchange::placed() or rejected() is called as a result, at
     /// once or later.
     virtual void submitWork(const std::string &service, Routing::Work work) = 0;
     /// Withdraws work that has not been placed yet.
@@ -94,7 +94,7 @@
     /// Sends the request to the server of \a placement.
     void placed(const Routing::Placement &placement);
     /// Answers the request with a failure, since the dispatcher has rejected it.
-    void turnedAway(const Routing::TurnedAway &why);
+    void rejected(const Routing::Rejection &why);
     /// Checks the request's time limits.
     void checkTime(Base::TimePoint now);
     bool isFinished() const { return m_state == State::Finished; }
@@ -150,7 +150,7 @@
     Base::ServerId m_server;
     Routing::PlacementInputs m_inputs;
     Base::ServerId m_fetchFrom;
-    std::optional<Routing::TurnedAway> m_turnedAway;
+    std::optional<Routing::Rejection> m_rejection;
     std::vector<Base::ServerId> m_tried;
     ResponseHead m_head;
     std::string m_body;
--- a/src/libs/gateway/failure.cpp
+++ b/src/libs/gateway/failure.cpp
@@ -17,7 +17,7 @@
         return "unauthorized";
     case FailureType::BadRequest:
         return "bad_request";
-    case FailureType::TurnedAway:
+    case FailureType::Rejection:
         return "overloaded";
     case FailureType::NoServer:
         return "no_capacity";
@@ -45,7 +45,7 @@
     case FailureType::TimedOut:
         return failure.mayHaveRun ? 504 : 503;
     case FailureType::NotReady:
-    case FailureType::TurnedAway:
+    case FailureType::Rejection:
     case FailureType::NoServer:
     case FailureType::ServerFailed:
     case FailureType::ShuttingDown:
--- a/src/libs/gateway/failure.h
+++ b/src/libs/gateway/failure.h
@@ -14,7 +14,7 @@
     NoRoute,        ///< No route matches the host name and path.
     UnknownKey,     ///< The key belongs to no customer.
     BadRequest,     ///< A required field is missing or malformed.
-    TurnedAway,     ///< No capacity becomes free in time.
+    Rejection,      ///< No capacity becomes free in time.
     NoServer,       ///< No server of the service is known or reachable.
     ServerFailed,   ///< A server failed, or its answer was lost, and no further attempt is allowed.
     TimedOut,       ///< The route's timeout or the caller's deadline has passed.
--- a/src/libs/gateway/gateway.cpp
+++ b/src/libs/gateway/gateway.cpp
@@ -387,7 +387,7 @@
     else if (!accepted.route->isStream())
         m_backlog.recordPlainRequest(now());
     else if (!m_backlog.admitStream(accepted.work, now())) {
-        m_services->service(accepted.service).dispatcher.recordTurnedAway(accepted.work, now());
+        m_services->service(accepted.service).dispatcher.recordRejected(accepted.work, now());
         m_load.addShedStream(accepted.customer);
         failure = Failure{FailureType::HostOverloaded, false, overloadRetryAfter};
     }
@@ -441,14 +441,14 @@
             if (exchange != m_exchanges.end())
                 std::shared_ptr<Exchange>(exchange->second)->placed(it);
         }
-        for (const Routing::TurnedAway &it : next.turnedAway) {
+        for (const Routing::Rejection &it : next.rejected) {
             const auto found = m_exchanges.find(it.work);
             if (found == m_exchanges.end())
                 continue;
             const std::shared_ptr<Exchange> exchange = found->second;
             if (exchange->isStream())
                 m_backlog.refundStream(exchange->work(), now());
-            exchange->turnedAway(it);
+            exchange->rejected(it);
         }
     }
     m_isApplying = false;
--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -116,7 +116,7 @@
     if (work.tried.empty())
         m_shares.recordDemand(work.customer, tokensOf(work), now);
     if (m_servers.empty()) {
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::NoServer, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::NoServer, now));
         return decisions;
     }
     // A returning request was admitted before, and a server may have spent time on it. If it were
@@ -127,7 +127,7 @@
     // The refusal comes first: looking at a hundred servers would cost an overloaded host more than
     // the rest of the refusal.
     if (admission == Admission::Refused) {
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::BeyondShare, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::BeyondShare, now));
         return decisions;
     }
     const bool onlyWithRoom = isRetry || admission == Admission::SpareCapacity;
@@ -140,11 +140,11 @@
         return decisions;
     }
     if (admission != Admission::WithinShare) {
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::BeyondShare, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::BeyondShare, now));
         return decisions;
     }
     if (m_waiting.size() >= maxWaiting) {
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::QueueFull, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::QueueFull, now));
         return decisions;
     }
     const Base::Duration maxWait =
@@ -157,7 +157,7 @@
             place(std::move(work), *any, now, decisions);
             return decisions;
         }
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::TooLate, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::TooLate, now));
         return decisions;
     }
     if (candidate)
@@ -168,7 +168,7 @@
     return decisions;
 }
 
-void Dispatcher::recordTurnedAway(const Work &work, Base::TimePoint now)
+void Dispatcher::recordRejected(const Work &work, Base::TimePoint now)
 {
     m_shares.recordDemand(work.customer, tokensOf(work), now);
 }
@@ -487,7 +487,7 @@
         }
         if (work.tried.empty())
             m_shares.recordAdmitted(work.customer, -tokensOf(work), now);
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::TooLate, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::TooLate, now));
     }
 }
 
@@ -517,8 +517,7 @@
     return std::clamp(milliseconds(static_cast<std::int64_t>(ms)), minRetryAfter, maxRetryAfter);
 }
 
-TurnedAway Dispatcher::makeTurnedAway(const Work &work, TurnedAwayReason reason,
-                                      Base::TimePoint now)
+Rejection Dispatcher::makeRejection(const Work &work, RejectionReason reason, Base::TimePoint now)
 {
     return {work.id, reason, retryAfter(), m_shares.received(work.customer, now),
             m_shares.shareLevel(now)};
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -58,7 +58,7 @@
     Decisions submit(Work work, Base::TimePoint now);
     /// Records a request that this host turned away before it reached the dispatcher. It counts as
     /// demand: otherwise the fleet would assume that its customer gets all that it asks for.
-    void recordTurnedAway(const Work &work, Base::TimePoint now);
+    void recordRejected(const Work &work, Base::TimePoint now);
     /// Removes a waiting request that is no longer wanted.
     void withdraw(WorkId id);
     /// Records that the first event of a placed request came.
@@ -155,7 +155,7 @@
     void place(Work work, const Candidate &candidate, Base::TimePoint now, Decisions &decisions);
     /// Places waiting requests as far as there is capacity.
     void placeWaiting(Base::TimePoint now, Decisions &decisions);
-    TurnedAway makeTurnedAway(const Work &work, TurnedAwayReason reason, Base::TimePoint now);
+    Rejection makeRejection(const Work &work, RejectionReason reason, Base::TimePoint now);
     /// Places each request that has waited too long on any server with capacity, or turns it away
     /// if there is none.
     void resolveOverdue(Base::TimePoint now, Decisions &decisions);
--- a/src/libs/routing/work.cpp
+++ b/src/libs/routing/work.cpp
@@ -2,16 +2,16 @@
 
 namespace Routing {
 
-const char *nameOf(TurnedAwayReason reason)
+const char *nameOf(RejectionReason reason)
 {
     switch (reason) {
-    case TurnedAwayReason::NoServer:
+    case RejectionReason::NoServer:
         return "no_server";
-    case TurnedAwayReason::TooLate:
+    case RejectionReason::TooLate:
         return "too_late";
-    case TurnedAwayReason::QueueFull:
+    case RejectionReason::QueueFull:
         return "crowded";
-    case TurnedAwayReason::BeyondShare:
+    case RejectionReason::BeyondShare:
         return "beyond_share";
     }
     return "too_late";
--- a/src/libs/routing/work.h
+++ b/src/libs/routing/work.h
@@ -71,7 +71,7 @@
     Base::ServerId fetchFrom;
 };
 
-enum class TurnedAwayReason {
+enum class RejectionReason {
     NoServer,    ///< No server of the service is known.
     TooLate,     ///< The request could not start in time behind the requests that wait already.
     QueueFull,   ///< The number of waiting requests has reached this host's limit.
@@ -79,10 +79,10 @@
 };
 
 /// The decision to refuse a request for now. The request has not run.
-struct TurnedAway
+struct Rejection
 {
     WorkId work = 0;
-    TurnedAwayReason reason = TurnedAwayReason::TooLate;
+    RejectionReason reason = RejectionReason::TooLate;
     /// The time after which capacity is expected to be free.
     Base::Milliseconds retryAfter{0};
     /// What the customer received recently and the share level, in tokens. Both are written to the
@@ -91,12 +91,12 @@
     double shareLevel = 0;
 };
 
-const char *nameOf(TurnedAwayReason reason);
+const char *nameOf(RejectionReason reason);
 
 struct Decisions
 {
     std::vector<Placement> placements;
-    std::vector<TurnedAway> turnedAway;
+    std::vector<Rejection> rejected;
 };
 
 /// The way in which an attempt at a server ended.
--- a/tests/auto/gateway/tst_texts.cpp
+++ b/tests/auto/gateway/tst_texts.cpp
@@ -136,14 +136,14 @@
 TEST_CASE("the answer does not deny that a request ran if it may have run", "[gateway]")
 {
     for (const FailureType type :
-         {FailureType::NotReady, FailureType::TurnedAway, FailureType::NoServer,
+         {FailureType::NotReady, FailureType::Rejection, FailureType::NoServer,
           FailureType::ServerFailed, FailureType::TimedOut, FailureType::ShuttingDown}) {
         CHECK(failureStatus({type, false, std::nullopt}) == 503);
         CHECK(failureStatus({type, true, std::nullopt})
               == (type == FailureType::TimedOut ? 504 : 502));
         CHECK(failureHead({type, true, Base::Milliseconds(100)}).count("Retry-After") == 0);
     }
-    CHECK(failureHead({FailureType::TurnedAway, false, Base::Milliseconds(250)})["Retry-After"]
+    CHECK(failureHead({FailureType::Rejection, false, Base::Milliseconds(250)})["Retry-After"]
           == "0.250");
 }
 
--- a/tests/auto/routing/fleetmodel.cpp
+++ b/tests/auto/routing/fleetmodel.cpp
@@ -200,13 +200,13 @@
     }
     Routing::Work work = workOf(id, load);
     if (!it.admission->admitStream(work, m_now)) {
-        it.dispatcher->recordTurnedAway(work, m_now);
+        it.dispatcher->recordRejected(work, m_now);
         refused(id, milliseconds(400));
         return refusalCost;
     }
     const Routing::Decisions decisions = it.dispatcher->submit(std::move(work), m_now);
     apply(host, decisions);
-    return decisions.turnedAway.empty() ? requestCost : refusalCost;
+    return decisions.rejected.empty() ? requestCost : refusalCost;
 }
 
 Routing::Work FleetModel::workOf(Routing::WorkId id, const CustomerLoad &load) const
@@ -224,7 +224,7 @@
 
 void FleetModel::apply(std::size_t host, const Routing::Decisions &decisions)
 {
-    for (const Routing::TurnedAway &it : decisions.turnedAway) {
+    for (const Routing::Rejection &it : decisions.rejected) {
         const CustomerLoad &load = m_scenario.customers[m_requests.at(it.work).customer];
         m_hosts[host].admission->refundStream(workOf(it.work, load), m_now);
         refused(it.work, it.retryAfter);
--- a/tests/auto/routing/tst_fairness.cpp
+++ b/tests/auto/routing/tst_fairness.cpp
@@ -297,7 +297,7 @@
     std::size_t served = 0;
     WorkId id = 0;
     for (Base::TimePoint now = start; now < start + seconds(6); now += milliseconds(20)) {
-        behind.recordTurnedAway(work(++id, "stays", now), now);
+        behind.recordRejected(work(++id, "stays", now), now);
         HostLoad load;
         behind.report(load, now);
         othersOfIdle.asked = load.asked;
@@ -407,7 +407,7 @@
     dispatcher.finished(1, AttemptOutcome::Broken, start);
     first.tried = {placed.placements.front().server};
     const Decisions again = dispatcher.submit(first, start + milliseconds(200));
-    CHECK(again.turnedAway.empty());
+    CHECK(again.rejected.empty());
     CHECK(again.placements.size() == 1);
 }
 
--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -115,20 +115,20 @@
     Dispatcher dispatcher = engineDispatcher(4);
     std::set<Base::ServerId> used;
     std::size_t placed = 0;
-    std::size_t turnedAway = 0;
+    std::size_t rejected = 0;
     for (WorkId id = 1; id <= 40; ++id) {
         const Decisions decisions = dispatcher.submit(prompt(id, 42, start), start);
         for (const Placement &it : decisions.placements)
             used.insert(it.server);
         placed += decisions.placements.size();
-        turnedAway += decisions.turnedAway.size();
+        rejected += decisions.rejected.size();
     }
     // Each of the four servers takes what it can start in time, and requests that cannot start in
     // time are not kept.
     CHECK(used.size() == 4);
     CHECK(placed >= 4);
-    CHECK(placed + turnedAway + dispatcher.waiting() == 40);
-    CHECK(turnedAway > 0);
+    CHECK(placed + rejected + dispatcher.waiting() == 40);
+    CHECK(rejected > 0);
 }
 
 TEST_CASE("requests that wait for a server count as its load", "[routing]")
@@ -154,21 +154,21 @@
     // A burst of long prompts reaches a full pool. Without the check, all of them wait until their
     // callers have given up, and the pool's work is of no use to anybody.
     Dispatcher dispatcher = engineDispatcher(1);
-    std::size_t turnedAway = 0;
+    std::size_t rejected = 0;
     for (WorkId id = 1; id <= 60; ++id) {
-        for (const TurnedAway &it : dispatcher.submit(prompt(id, id, start), start).turnedAway) {
-            CHECK(it.reason == TurnedAwayReason::TooLate);
+        for (const Rejection &it : dispatcher.submit(prompt(id, id, start), start).rejected) {
+            CHECK(it.reason == RejectionReason::TooLate);
             CHECK(it.retryAfter >= milliseconds(200));
             CHECK(it.retryAfter <= milliseconds(2000));
-            ++turnedAway;
+            ++rejected;
         }
     }
-    CHECK(turnedAway > 40);
+    CHECK(rejected > 40);
     // The waiting requests are decided before half of their time to start has passed.
     const Base::TimePoint late = start + milliseconds(425);
     const std::size_t waiting = dispatcher.waiting();
     const Decisions decisions = dispatcher.advance(late);
-    CHECK(decisions.turnedAway.size() + decisions.placements.size() == waiting);
+    CHECK(decisions.rejected.size() + decisions.placements.size() == waiting);
     CHECK(dispatcher.waiting() == 0);
 }
 
@@ -237,7 +237,7 @@
                 RC_ASSERT(open.erase(it.work) == 1);
                 running.push_back(it.work);
             }
-            for (const TurnedAway &it : decisions.turnedAway)
+            for (const Rejection &it : decisions.rejected)
                 RC_ASSERT(open.erase(it.work) == 1);
         };
         const int steps = *rc::gen::inRange(1, 150);
