--- a/src/libs/coordination/configurationreplica.cpp
+++ b/src/libs/coordination/configurationreplica.cpp
@@ -40,7 +40,7 @@
     m_now = now;
     m_writer.advance(now);
     std::erase_if(m_peers, [&](const auto &entry) {
-        return now - entry.second.heardAt >= m_policy.peerTimeout;
+        return now - entry.second.lastHeardAt >= m_policy.peerTimeout;
     });
     std::erase_if(m_polls,
                   [&](const auto &entry) { return now - entry.second >= m_policy.pollTimeout; });
@@ -154,12 +154,12 @@
         return std::nullopt;
     m_nextPull = now + m_policy.pullInterval;
     std::optional<Base::HostId> mostRecent;
-    Base::TimePoint heardAt{};
+    Base::TimePoint lastHeardAt{};
     for (const auto &[host, peer] : m_peers) {
-        if (peer.version <= m_history.version() || peer.heardAt < heardAt)
+        if (peer.version <= m_history.version() || peer.lastHeardAt < lastHeardAt)
             continue;
         mostRecent = host;
-        heardAt = peer.heardAt;
+        lastHeardAt = peer.lastHeardAt;
     }
     return mostRecent;
 }
--- a/src/libs/coordination/configurationreplica.h
+++ b/src/libs/coordination/configurationreplica.h
@@ -89,7 +89,7 @@
     struct Peer
     {
         Settings::ConfigurationVersion version = 0;
-        Base::TimePoint heardAt;
+        Base::TimePoint lastHeardAt;
     };
 
     ConfigurationReplica(const ConfigurationPolicy &policy, Storage::TableService &table,
--- a/src/libs/coordination/membership.cpp
+++ b/src/libs/coordination/membership.cpp
@@ -157,9 +157,9 @@
 
 void Membership::recordHeard(Member &member, Base::TimePoint now)
 {
-    if (!member.isAlive && now - member.heardAt >= suspectTimeout(member))
+    if (!member.isAlive && now - member.lastHeardAt >= suspectTimeout(member))
         member.steadySince = now;
-    member.heardAt = now;
+    member.lastHeardAt = now;
     if (member.isAlive)
         return;
     if (now - member.lostAt >= m_policy.flapWindow)
@@ -216,11 +216,11 @@
     for (auto it = m_others.begin(); it != m_others.end();) {
         Member &member = it->second;
         if (wasPaused && member.isAlive)
-            member.heardAt += pause;
-        if (member.isAlive && now - member.heardAt >= suspectTimeout(member))
+            member.lastHeardAt += pause;
+        if (member.isAlive && now - member.lastHeardAt >= suspectTimeout(member))
             markLost(member, now);
         const bool isGone =
-            !member.isAlive && !member.isListed && now - member.heardAt >= m_policy.forgetAfter;
+            !member.isAlive && !member.isListed && now - member.lastHeardAt >= m_policy.forgetAfter;
         it = isGone ? m_others.erase(it) : std::next(it);
     }
 }
--- a/src/libs/coordination/membership.h
+++ b/src/libs/coordination/membership.h
@@ -69,7 +69,7 @@
     bool isAlive = false;
     /// Whether the platform's newest list contains the router.
     bool isListed = false;
-    Base::TimePoint heardAt;
+    Base::TimePoint lastHeardAt;
     /// Time to the next heartbeat, as announced in the last one.
     Base::Duration interval{};
     std::uint64_t sequence = 0;
--- a/src/libs/coordination/serviceledger.cpp
+++ b/src/libs/coordination/serviceledger.cpp
@@ -135,7 +135,7 @@
     // A customer that waits only at another shard is still backlogged in the pool. Lifting it to
     // the local floor would cancel the service that it is still owed there.
     for (const auto &[start, remote] : m_remoteStarts) {
-        if (remote.floor == 0 || m_now - remote.heardAt > m_policy.peerFloorTimeout)
+        if (remote.floor == 0 || m_now - remote.lastHeardAt > m_policy.peerFloorTimeout)
             continue;
         floor = floor ? std::min(*floor, remote.floor) : remote.floor;
     }
--- a/src/libs/coordination/serviceledger.h
+++ b/src/libs/coordination/serviceledger.h
@@ -149,7 +149,7 @@
     /// What is known of one live start of another router.
     struct RemoteStart
     {
-        Base::TimePoint heardAt;
+        Base::TimePoint lastHeardAt;
         Base::ServiceUnits floor = 0;
         std::map<Base::CustomerId, Base::ServiceUnits> seen;
     };
--- a/src/libs/coordination/serviceledgermerge.cpp
+++ b/src/libs/coordination/serviceledgermerge.cpp
@@ -18,7 +18,7 @@
     const bool isSenderFolded = isFolded(sender);
     if (!isSenderFolded) {
         RemoteStart &remote = m_remoteStarts[sender];
-        remote.heardAt = m_now;
+        remote.lastHeardAt = m_now;
         remote.floor = delta.floor;
     }
     m_highestFloor = std::max(m_highestFloor, delta.floor);
@@ -109,7 +109,7 @@
         return;
     const auto [it, isNew] = m_remoteStarts.try_emplace(start);
     if (isNew)
-        it->second.heardAt = m_now;
+        it->second.lastHeardAt = m_now;
     Base::ServiceUnits &seen = it->second.seen[customer];
     if (charged <= seen)
         return;
@@ -159,7 +159,7 @@
 {
     std::vector<LedgerStart> silent;
     for (const auto &[start, remote] : m_remoteStarts) {
-        if (m_now - remote.heardAt >= m_policy.foldAfter)
+        if (m_now - remote.lastHeardAt >= m_policy.foldAfter)
             silent.push_back(start);
     }
     for (const LedgerStart &start : silent)
--- a/src/libs/node/poolhomes.cpp
+++ b/src/libs/node/poolhomes.cpp
@@ -183,12 +183,12 @@
             const Coordination::PoolSummary reported = own->second->summary();
             summary = {shard, reported.waiting, reported.freePermits, reported.drainRate, now};
         } else if (member != m_context.membership.others().end()) {
-            summary.receivedAt = member->second.heardAt;
+            summary.receivedAt = member->second.lastHeardAt;
             for (const Coordination::PoolSummary &reported : member->second.pools) {
                 if (reported.pool != pool || reported.shard != shard)
                     continue;
                 summary = {shard, reported.waiting, reported.freePermits, reported.drainRate,
-                           member->second.heardAt};
+                           member->second.lastHeardAt};
             }
         }
         summaries.push_back(summary);
