--- a/src/libs/gateway/requestvalidator.cpp
+++ b/src/libs/gateway/requestvalidator.cpp
@@ -84,7 +84,7 @@
     work.priority = accepted.route->priority;
     work.arrivedAt = readAt;
     work.startBy = readAt + accepted.route->startTarget;
-    work.giveUpAt = std::min(accepted.deadline, readAt + accepted.route->timeout);
+    work.deadline = std::min(accepted.deadline, readAt + accepted.route->timeout);
     const TokenCounts counts = parseTokenCounts(field(message, m_names->tokenCounts));
     work.promptTokens = counts.prompt;
     work.outputTokens = counts.output;
--- a/src/libs/routing/work.h
+++ b/src/libs/routing/work.h
@@ -31,7 +31,7 @@
     /// An answer whose first event arrives by this time is on time.
     Base::TimePoint startBy;
     /// An answer that comes after this time is of no use to the caller.
-    Base::TimePoint giveUpAt;
+    Base::TimePoint deadline;
     /// The number of tokens in the prompt; 0 for plain applications.
     std::uint32_t promptTokens = 0;
     /// The maximum number of tokens that the server may generate.
--- a/tests/auto/routing/fleetmodel.cpp
+++ b/tests/auto/routing/fleetmodel.cpp
@@ -216,7 +216,7 @@
     work.customer = Base::CustomerId(load.name);
     work.arrivedAt = m_now;
     work.startBy = m_now + target;
-    work.giveUpAt = m_now + 8 * target;
+    work.deadline = m_now + 8 * target;
     work.promptTokens = load.promptTokens;
     work.outputTokens = load.outputTokens;
     return work;
--- a/tests/auto/routing/tst_fairness.cpp
+++ b/tests/auto/routing/tst_fairness.cpp
@@ -24,7 +24,7 @@
     it.customer = Base::CustomerId(customer);
     it.arrivedAt = now;
     it.startBy = now + milliseconds(1000);
-    it.giveUpAt = now + seconds(8);
+    it.deadline = now + seconds(8);
     it.promptTokens = 4000;
     it.outputTokens = 400;
     return it;
--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -44,7 +44,7 @@
     work.customer = Base::CustomerId("c");
     work.arrivedAt = now;
     work.startBy = now + milliseconds(800);
-    work.giveUpAt = now + seconds(8);
+    work.deadline = now + seconds(8);
     work.promptTokens = sharedTokens + ownTokens;
     work.outputTokens = 100;
     work.parts = {{beginning, sharedTokens}, {id * 7919, ownTokens}};
@@ -141,7 +141,7 @@
     for (WorkId id = 1; id <= 30; ++id) {
         Work work = prompt(id, 42, start);
         work.startBy = start + seconds(20);
-        work.giveUpAt = start + seconds(40);
+        work.deadline = start + seconds(40);
         for (const Placement &it : dispatcher.submit(work, start).placements)
             used.insert(it.server);
     }
