--- a/src/libs/claims/rowclassifier.h
+++ b/src/libs/claims/rowclassifier.h
@@ -15,7 +15,7 @@
     Absent,            ///< There is no row.
     Own,               ///< The claimer wrote the row.
     Free,              ///< The owner released the row without sending the work.
-    OtherContent,      ///< The key is taken for different content.
+    OtherContent,      ///< The key was claimed for different content.
     Completed,         ///< The work has completed; the row holds its answer.
     CompletedUnstored, ///< The work has completed; its answer was not stored.
     Live,              ///< Another claimer owns the row, and its lease is valid.
