--- a/src/libs/coordination/configurationhistory.h
+++ b/src/libs/coordination/configurationhistory.h
@@ -39,7 +39,8 @@
     bool shouldPush(Settings::ConfigurationVersion version, Base::Duration relayDelay,
                     Base::TimePoint now) const;
     /// Whether the class was set or removed after version \a seen. Also true if the changes that
-    /// would tell are no longer kept; the operator then only has to read the class again.
+    /// would show it are no longer kept; the only effect is that the operator has to read the class
+    /// again.
     bool mayHaveChangedAfter(const Base::ClassId &name, Settings::ConfigurationVersion seen) const;
 
 private:
