--- a/src/libs/coordination/ledgerdelta.h
+++ b/src/libs/coordination/ledgerdelta.h
@@ -32,7 +32,8 @@
     bool operator==(const FoldedStart &) const = default;
 };
 
-/// The charge that the sender knows of the start with index \a start in LedgerDelta::starts.
+/// The charge of the start with index \a start in LedgerDelta::starts, as far as the sender knows
+/// it.
 struct SeenCharge
 {
     std::uint32_t start = 0;
@@ -65,8 +66,8 @@
     bool operator==(const LedgerEntry &) const = default;
 };
 
-/// Entries of one pool that a router sends to its peers: those changed since the last exchange
-/// or, if isSnapshot, everything that a router needs which starts or takes over a home.
+/// Entries of one pool that a router sends to its peers: those changed since the last exchange or,
+/// if isSnapshot, everything that a router needs when it starts or takes over a home.
 struct LedgerDelta
 {
     Base::HostId sender;
