--- a/src/libs/coordination/membership.h
+++ b/src/libs/coordination/membership.h
@@ -37,12 +37,14 @@
     /// Shortest time between two updates of a changing pool. Newly spare permits are sent
     /// without this delay.
     Base::Duration poolUpdateInterval = std::chrono::seconds(1);
-    /// Flap damping: from the second loss within flapWindow on, a member must be heard for
-    /// holdDownStep times the number of losses, at most maxHoldDown, before it is used again.
+    /// Flap damping: from the second loss within flapWindow on, heartbeats of a member must arrive
+    /// for holdDownStep times the number of losses, at most maxHoldDown, before the member is used
+    /// again.
     Base::Duration flapWindow = std::chrono::seconds(60);
     Base::Duration holdDownStep = std::chrono::seconds(1);
     Base::Duration maxHoldDown = std::chrono::seconds(5);
-    /// A dead member that the list no longer contains is forgotten after this silence.
+    /// A dead member that the list no longer contains is forgotten when it has been silent for this
+    /// long.
     Base::Duration forgetAfter = std::chrono::seconds(60);
     LeavingPolicy leaving;
 };
@@ -79,7 +81,7 @@
     std::uint32_t losses = 0;
     /// Time of the last loss.
     Base::TimePoint lostAt;
-    /// Time since which the router has been heard without a gap.
+    /// Time since which heartbeats of the router have arrived without a gap.
     Base::TimePoint steadySince;
 };
 
@@ -97,8 +99,8 @@
     static Base::Result<Membership> create(const MembershipPolicy &policy,
                                            const RouterIdentity &self);
 
-    /// Adds the routers and the leaving marks of the platform's list. Of a list older than the
-    /// newest one seen only the leaving marks are used.
+    /// Adds the routers and the leaving marks of the platform's list. If the list is older than the
+    /// newest one seen, only its leaving marks are used.
     void seed(const Storage::HostListing &listing, Base::TimePoint now);
     /// Applies a heartbeat of another router.
     void receive(const Heartbeat &heartbeat, Base::TimePoint now);
@@ -155,10 +157,10 @@
     void resetForNewStart(Member &member, const Heartbeat &heartbeat);
     bool isWorthSending(const PoolSummary &summary) const;
     void applyPools(Member &member, const Heartbeat &heartbeat);
-    /// Records that the member was heard and marks it alive after its hold-down time.
+    /// Records that a heartbeat of the member arrived and marks it alive after its hold-down time.
     void recordHeard(Member &member, Base::TimePoint now);
     void markLost(Member &member, Base::TimePoint now);
-    /// How long a lost member must be heard before it is used again.
+    /// Time for which heartbeats of a lost member must arrive before it is used again.
     Base::Duration holdDownTime(const Member &member) const;
     /// Silence after which the member is regarded as dead.
     Base::Duration suspectTimeout(const Member &member) const;
