--- a/src/libs/coordination/orderreconciler.h
+++ b/src/libs/coordination/orderreconciler.h
@@ -24,7 +24,7 @@
 /// have loaded the model or taken the role that their row names.
 ///
 /// A model may have to be loaded by many servers at once, while the weight store serves a limited
-/// rate. All routers therefore share one pace for starting loads; without it the store would
+/// rate. All routers therefore share one rate limit for starting loads; without it the store would
 /// refuse most loads, which would all be retried at once.
 ///
 /// A server that checks fences refuses an outdated order whenever it arrives. For a server that
@@ -40,7 +40,7 @@
                                                 const std::string &holder);
 
     /// Sets the servers that this router sends orders to, and the number of routers that share the
-    /// pace of loads.
+    /// rate limit of loads.
     void setServers(const std::vector<Base::ServerId> &servers, std::size_t routers);
     /// Reads desired rows, maintains leases and sends orders that are due.
     void advance(Base::TimePoint now);
@@ -72,8 +72,8 @@
                     Storage::OperationIds &operations, const std::string &holder);
     void readDesired(const Base::ServerId &server, ManagedServer &managed, Base::TimePoint now);
     void handleDesired(ManagedServer &managed, const Storage::TableOutcome &outcome);
-    /// Sends the server's order if the lease is held, no other order is in progress and the pace
-    /// permits it.
+    /// Sends the server's order if the lease is held, no other order is in progress and the rate
+    /// limit permits it.
     void sendDueOrder(const Base::ServerId &server, ManagedServer &managed, Base::TimePoint now);
 
     OrderPolicy m_policy;
