--- a/src/libs/coordination/serviceledger.cpp
+++ b/src/libs/coordination/serviceledger.cpp
@@ -86,8 +86,8 @@
 {
     if (backlogged.empty())
         return;
-    // Peers are told only the floor of the customers that wait here. If they were told the
-    // smallest floor known anywhere, they would report it back and it could never rise again.
+    // Only the floor of the customers that wait here is sent to peers. If the smallest floor known
+    // anywhere were sent, peers would report it back and it could never rise again.
     if (const auto here = localFloor(backlogged, Base::CustomerId()))
         recordFloor(*here);
     const Base::ServiceUnits floor = poolFloor(backlogged, Base::CustomerId());
--- a/src/libs/coordination/serviceledger.h
+++ b/src/libs/coordination/serviceledger.h
@@ -97,7 +97,7 @@
     void becomeBacklogged(const Base::CustomerId &customer,
                           const std::vector<Base::CustomerId> &backlogged);
     /// Limits the debt of each customer in \a backlogged to LedgerPolicy::maxDebt and updates the
-    /// floor that peers are told. Must be called regularly, because a merge after a partition can
+    /// floor that is sent to peers. Must be called regularly, because a merge after a partition can
     /// create larger debts.
     void clampDebts(const std::vector<Base::CustomerId> &backlogged);
 
@@ -107,7 +107,7 @@
     /// largest unsent charge first, and now and then refreshed entries; nullopt if there is
     /// nothing to send.
     std::optional<LedgerDelta> takeDelta(std::size_t limit = allEntries);
-    /// Returns what a peer needs that starts or takes over a home: all customers except idle
+    /// Returns what a peer needs when it starts or takes over a home: all customers except idle
     /// ones at or below the floor.
     LedgerDelta snapshot() const;
     /// Sets the current time, folds silent starts and drops idle customers.
