--- a/src/libs/gateway/eventlog.h
+++ b/src/libs/gateway/eventlog.h
@@ -43,20 +43,20 @@
 ///
 /// Writing never blocks. Lines go into a bounded buffer and from there to the descriptor as far as
 /// it accepts them at once. While the reader is stopped, lines are dropped and counted, and
-/// requests are still served. Lines about requests are limited to a number a second.
+/// requests are still served. The number of lines about requests per second is limited.
 class EventLog
 {
 public:
     /// \a requestLinesPerSecond limits the lines about requests; failed requests have twice as many
-    /// in addition. A host with a quarter of a core serves about 50 requests a second on an
-    /// ordinary day.
+    /// in addition. A host with a quarter of a core serves about 50 requests a second under its
+    /// usual load.
     EventLog(int descriptor, unsigned requestLinesPerSecond);
 
     void setRequestLineLimit(unsigned perSecond) { m_requestLinesPerSecond = perSecond; }
-    /// Writes a line, without a limit a second; it is dropped only if the buffer is full. For
-    /// events that change the state of the process.
+    /// Writes a line to which no limit per second applies; it is dropped only if the buffer is
+    /// full. For events that change the state of the process.
     void write(const LogLine &line, Base::TimePoint now);
-    /// Counts one line about a request against the limit a second, which is larger for failures.
+    /// Counts one line about a request against the limit per second, which is larger for failures.
     /// Returns false if the limit is reached; the line then counts as dropped and need not be
     /// built, which would take about a tenth of the processor time of a refused request.
     bool tryAcquireRequestLine(bool isFailure, Base::TimePoint now);
