--- a/src/libs/gateway/exchange.cpp
+++ b/src/libs/gateway/exchange.cpp
@@ -206,9 +206,9 @@
     if (silence < silenceTimeout())
         return false;
     // A server that answers other requests is alive and only slow. Giving up its work would waste
-    // what it has already read, and no other server has room in a crowded pool. A server that never
-    // answers this request may drop some of its requests silently, so the longer wait is bounded
-    // too.
+    // what it has already read, and in an overloaded pool no other server has capacity. A server
+    // that never answers this request may drop some of its requests silently, so the longer wait is
+    // bounded too.
     const Base::Duration quietTime = route().isStream() ? streamServerQuietTime : serverQuietTime;
     const std::optional<Base::TimePoint> lastResponseAt = m_port->lastResponseFrom(m_server);
     const bool isServerQuiet = !lastResponseAt || now - *lastResponseAt >= quietTime;
--- a/src/libs/gateway/exchange.h
+++ b/src/libs/gateway/exchange.h
@@ -61,14 +61,14 @@
     virtual void exchangeFinished(Routing::WorkId id) = 0;
 };
 
-/// A request that passed examination, with the data that the examination found.
+/// A request that passed validation, with the data that validation determined.
 struct AcceptedRequest
 {
     Routing::WorkId id = 0;
     CallerRequest request;
     std::string requestId;
-    /// The configuration that the request was accepted under. It stays, so that a newer one does
-    /// not change the request half-way.
+    /// The configuration that the request was accepted under. The request keeps it, so that a newer
+    /// one does not change the handling of a request in progress.
     std::shared_ptr<const Routing::RouteTable> table;
     const Routing::Route *route = nullptr;
     std::string service;
