--- a/src/libs/gateway/fleetview.cpp
+++ b/src/libs/gateway/fleetview.cpp
@@ -12,10 +12,10 @@
 /// Reports are sent five times a second. Three or more in a row are not lost by chance, and a host
 /// that is down must leave the entry list before many callers try it.
 constexpr Base::Duration livenessTimeout = std::chrono::milliseconds(1400);
-/// A host that is down or cut off is still sent reports for this long after it was last heard from
-/// or listed in the store.
+/// Reports are still sent to a host that is down or cut off until this time has passed since its
+/// last report or its last listing in the store.
 constexpr Base::Duration receiverTimeout = std::chrono::seconds(45);
-/// For this long a cached decision on who leads is reused.
+/// Time for which a cached decision on who leads is reused.
 constexpr Base::Duration leaderCacheTime = std::chrono::milliseconds(100);
 /// For this long after a change that affects who leads, this host reports to all hosts and not only
 /// to the leader. The time covers three reports, of which one or two may be lost.
--- a/src/libs/gateway/fleetview.h
+++ b/src/libs/gateway/fleetview.h
@@ -127,8 +127,8 @@
     /// Whether other hosts of this zone may exist, but none of them has reported within the
     /// liveness timeout.
     bool isCutOffFromZone(Base::TimePoint now) const;
-    /// Postpones this host's summaries until it has been the leader long enough to hear from its
-    /// zone. From then on it discards the fleet reports of former leaders.
+    /// Postpones this host's summaries until it has been the leader long enough to receive the
+    /// reports of its zone. From then on it discards the fleet reports of former leaders.
     void updateGatherPeriod(Base::TimePoint now);
     /// Returns the newest report on the fleet from a leader of this zone. Null if there is no
     /// recent one, or if this host is the leader and has gathered the reports of its zone.
@@ -146,7 +146,7 @@
     Base::ZoneId m_zone;
     bool m_isLeaving = false;
     bool m_isStoreLost = false;
-    /// Until then this host reports to all hosts if it does not lead its zone.
+    /// Before this time, this host reports to all hosts if it does not lead its zone.
     Base::TimePoint m_announceUntil = Base::TimePoint::min();
     /// While this host is the leader, it sends no summaries before this time.
     Base::TimePoint m_gatherUntil = Base::TimePoint::max();
