--- a/src/libs/gateway/hostload.h
+++ b/src/libs/gateway/hostload.h
@@ -25,14 +25,14 @@
 };
 
 /// Counts this host's work of the last second for a line of the log. When a host is overloaded and
-/// request lines are dropped, no other line shows whose streams it turns away.
+/// request lines are dropped, no other line shows whose streams it rejects.
 class HostLoadCounter
 {
 public:
     void addRequest() { ++m_requests; }
     void addRefusal() { ++m_refusals; }
     void addEvents(std::size_t count) { m_events += count; }
-    /// Counts a stream of \a customer that this host turned away because it is overloaded.
+    /// Counts a stream of \a customer that this host rejected because it is overloaded.
     void addShedStream(const Base::CustomerId &customer);
     /// Adds the time from \a since to \a now, in which there was work.
     void addBusy(Base::TimePoint since, Base::TimePoint now);
