--- a/src/libs/gateway/httpclient.h
+++ b/src/libs/gateway/httpclient.h
@@ -17,9 +17,9 @@
 
 /// HTTP client for the store or another host, with one connection and one call at a time.
 ///
-/// A connection may stop delivering without ever being reset, and nothing follows on one whose
-/// answer was lost. Each call therefore has its own timeout, and the call after a failure opens a
-/// new connection.
+/// A connection may stop delivering without ever being reset, and no further answer arrives on a
+/// connection whose answer was lost. Each call therefore has its own timeout, and the call after a
+/// failure opens a new connection.
 class HttpClient final : public std::enable_shared_from_this<HttpClient>
 {
 public:
