--- a/src/libs/gateway/httptext.cpp
+++ b/src/libs/gateway/httptext.cpp
@@ -13,7 +13,8 @@
 
 using boost::beast::iequals;
 
-/// Hop-by-hop fields (RFC 9110, 7.6.1), and the length of the body, which is set anew.
+/// Hop-by-hop fields (RFC 9110, 7.6.1), and the field with the length of the body, which is
+/// recomputed.
 constexpr std::array connectionFields = {
     Http::field::connection,
     Http::field::keep_alive,
--- a/src/libs/gateway/httptext.h
+++ b/src/libs/gateway/httptext.h
@@ -34,7 +34,8 @@
 };
 
 /// Serializes \a request for a server. Method, target and body are unchanged, hop-by-hop fields are
-/// removed, and the length of the body is set anew, which prevents request smuggling.
+/// removed, and the field with the length of the body is recomputed, which prevents request
+/// smuggling.
 std::string forwardedText(const Request &request, const ForwardedFields &added,
                           const HeaderNames &names);
 
