--- a/src/libs/gateway/storeclient.cpp
+++ b/src/libs/gateway/storeclient.cpp
@@ -31,9 +31,9 @@
 constexpr Base::Duration firstHostReadInterval = std::chrono::seconds(1);
 constexpr Base::Duration hostWriteInterval = std::chrono::seconds(20);
 constexpr milliseconds hostRowFreshFor{45000};
-/// Delay between the first reading of the rows and the first writing. A host that hears in this
-/// time from another one that refreshes its row need not write it. Hosts that start together read
-/// the rows once more after that (firstHostReadInterval).
+/// Delay between the first reading of the rows and the first writing. A host that receives in this
+/// time a report of another one that refreshes its row need not write the row. Hosts that start
+/// together read the rows once more after that (firstHostReadInterval).
 constexpr Base::Duration firstHostWriteDelay = milliseconds(500);
 /// Interval at which a host that refreshes no rows checks whether it has to.
 constexpr Base::Duration hostWriteCheckInterval = std::chrono::seconds(1);
