--- a/src/libs/gateway/storereplica.h
+++ b/src/libs/gateway/storereplica.h
@@ -29,7 +29,7 @@
     /// A newer configuration is in force.
     virtual void configurationApplied() = 0;
     /// Servers came or went. If \a notifiesZone, this host has read the change from the store
-    /// itself, and the other hosts of its zone should be told at once.
+    /// itself, and the other hosts of its zone should be notified at once.
     virtual void serversChanged(const Routing::ServerChanges &changes, bool notifiesZone) = 0;
     /// The slots and warm-up times of servers may have changed. No server came or went by this
     /// call.
