--- a/src/libs/node/environment.h
+++ b/src/libs/node/environment.h
@@ -11,7 +11,8 @@
 
 namespace Node {
 
-/// Provides calendar time. It is used only for the retention of claims.
+/// Provides calendar time. It is used for the leases and the retention of claims, whose times are
+/// stored in the table and compared by other routers.
 class WallClock
 {
 public:
