--- a/src/libs/node/nodeconstants.h
+++ b/src/libs/node/nodeconstants.h
@@ -20,7 +20,7 @@
 /// Number of generated tokens assumed for work whose caller set no limit or a larger one.
 inline constexpr std::uint64_t maxAssumedGeneratedTokens = 256;
 
-/// Delays after which callers are told to try again, by the kind of failure.
+/// Retry delays that are sent to callers, by the kind of failure.
 inline constexpr Base::Milliseconds notReadyRetryAfter{1000};
 inline constexpr Base::Milliseconds keyInProgressRetryAfter{1000};
 inline constexpr Base::Milliseconds claimRetryAfter{2000};
