--- a/src/libs/node/openrequest.h
+++ b/src/libs/node/openrequest.h
@@ -53,8 +53,8 @@
     Base::TimePoint arrivedAt;
     Base::TimePoint permitRequestedAt;
     Base::TimePoint sentAt;
-    /// Time of the last data from the backend server, of sending, or of the caller's buffer having
-    /// room again.
+    /// Time at which data last came from the backend server, the attempt was sent, or the caller's
+    /// buffer had room again, whichever was last.
     Base::TimePoint lastResponseAt;
     Base::TimePoint firstPartAt;
     bool hasFirstPart = false;
