--- a/src/libs/node/poolhome.h
+++ b/src/libs/node/poolhome.h
@@ -86,7 +86,7 @@
     std::vector<PermitRequest> takeForHandover(std::size_t count, std::uint32_t to,
                                                Base::TimePoint now);
 
-    /// Returns the queue length, free permits and drain rate, as told to other routers.
+    /// Returns the queue length, free permits and drain rate, as reported to other routers.
     Coordination::PoolSummary summary() const;
     /// Returns the number of waiting requests.
     std::size_t waiting() const { return m_queue.size(); }
