--- a/src/libs/routing/customershares.cpp
+++ b/src/libs/routing/customershares.cpp
@@ -146,7 +146,7 @@
     m_asked.addTo(asked, now);
     // The sums cover about two seconds, but no time before the load began. If the whole two seconds
     // counted as capacity from the first moment, two seconds' worth of requests would be admitted
-    // at once, and everybody would be turned away for the next two seconds.
+    // at once, and every request would be rejected for the next two seconds.
     const double seconds = askedSeconds(now);
     // Servers that are lost or slow process less than the configured throughput.
     const double configuredCapacity = m_tokensPerSecond * seconds * (1 + std::min(growth(), 0.0));
