--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -120,7 +120,7 @@
         return decisions;
     }
     // A returning request was admitted before, and a server may have spent time on it. If it were
-    // turned away now, its caller could not be told that it has not run.
+    // rejected now, its caller could not be told that it has not run.
     const bool isRetry = !work.tried.empty();
     const Admission admission =
         isRetry ? Admission::WithinShare : m_shares.admission(work.customer, now);
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -20,18 +20,18 @@
 
 namespace Routing {
 
-/// Decides where the requests of one service that enter at this host go: to a server now, to a
-/// server later, or nowhere.
+/// Decides what happens to the requests of one service that arrive at this host: each is sent to a
+/// server, waits for one, or is rejected.
 ///
 /// A pool may be overloaded by a burst, by a large customer, or because servers are lost. Servers
 /// run requests in order of arrival, and one long prompt delays all requests beside it. Therefore
 /// each server is kept only just full, and further requests wait here in a fair order. A request
-/// that could not start in time behind the waiting ones is turned away at once, together with a
-/// time after which capacity is expected.
+/// that could not start in time behind the waiting ones is rejected at once, together with a time
+/// after which capacity is expected.
 ///
 /// CustomerShares decides how much capacity a customer's requests may use. Within its share, a
 /// request waits for a server that is full. Beyond its share, it is placed on a server with little
-/// load, or turned away at once.
+/// load, or rejected at once.
 ///
 /// The choice of a server compares estimates of the time to the first event in milliseconds. They
 /// include the prompt tokens that this host and the others sent to the server and that it has not
@@ -56,7 +56,7 @@
 
     /// Handles a request that arrives, or that returns after a failed attempt.
     Decisions submit(Work work, Base::TimePoint now);
-    /// Records a request that this host turned away before it reached the dispatcher. It counts as
+    /// Records a request that this host rejected before it reached the dispatcher. It counts as
     /// demand: otherwise the fleet would assume that its customer gets all that it asks for.
     void recordRejected(const Work &work, Base::TimePoint now);
     /// Removes a waiting request that is no longer wanted.
@@ -156,8 +156,8 @@
     /// Places waiting requests as far as there is capacity.
     void placeWaiting(Base::TimePoint now, Decisions &decisions);
     Rejection makeRejection(const Work &work, RejectionReason reason, Base::TimePoint now);
-    /// Places each request that has waited too long on any server with capacity, or turns it away
-    /// if there is none.
+    /// Places each request that has waited too long on any server with capacity, or rejects it if
+    /// there is none.
     void resolveOverdue(Base::TimePoint now, Decisions &decisions);
     /// Returns the estimated time that a new request of \a customer waits behind the waiting ones.
     Base::Duration expectedWait(const Base::CustomerId &customer) const;
