--- a/src/libs/routing/fairwaitqueue.h
+++ b/src/libs/routing/fairwaitqueue.h
@@ -12,10 +12,10 @@
 
 /// Holds the requests that wait for a server, in an order that is fair among customers.
 ///
-/// In order of arrival, the requests of a customer that sends many times its usual load would be
-/// served before everybody else's. Here the customer that has received least is next, so a flood
-/// waits behind itself. Within a customer, requests with a more urgent priority go first, and then
-/// those that must start first.
+/// If requests were served in order of arrival, those of a customer that sends many times its usual
+/// load would delay everybody else's. Here the customer that has received least is next, so the
+/// requests of a flood wait behind each other. Within a customer, requests with a more urgent
+/// priority go first, and then those that must start first.
 class FairWaitQueue
 {
 public:
