--- a/src/libs/routing/serverset.h
+++ b/src/libs/routing/serverset.h
@@ -76,7 +76,7 @@
 /// The set of backend servers that may get requests.
 ///
 /// It distinguishes two cases that look alike in a list. A server that announces that it leaves is
-/// gone for good, whatever an older reading says later: its id is never used again. A server whose
+/// gone forever, whatever an older reading says later: its id is never used again. A server whose
 /// entry is missing is gone too, except while the store is unreachable or has just become reachable
 /// again. Entries expire during an outage although their servers run, and dropping them all would
 /// leave requests without a server. Therefore missing entries are kept until \a gracePeriod after
