--- a/src/libs/routing/streamadmission.h
+++ b/src/libs/routing/streamadmission.h
@@ -11,7 +11,7 @@
 
 namespace Routing {
 
-/// Decides which streams a host admits that is behind with its own work.
+/// Decides which streams are admitted by a host that is behind with its own work.
 ///
 /// Callers that stay with one small host may send it several times what its processor can forward.
 /// If all streams were admitted, each further one would delay the events of all others, until
