--- a/src/libs/scheduling/retrypolicy.h
+++ b/src/libs/scheduling/retrypolicy.h
@@ -16,7 +16,7 @@
 enum class AttemptExecution {
     NeverSent, ///< No byte was sent, so it did not run.
     Refused,   ///< The server reported that it did not run it.
-    MaybeRan,  ///< It was sent, wholly or in part.
+    MaybeRan,  ///< It was sent in whole or in part.
 };
 
 /// What the decision after a failed attempt depends on.
