--- a/tests/auto/daemon/tst_platformclient.cpp
+++ b/tests/auto/daemon/tst_platformclient.cpp
@@ -49,7 +49,7 @@
 } // namespace
 
 // Guards against reporting work that ran as "not run". A claim is written, the table commits it and
-// its answer is cut; a lost answer must not be taken for a write that was never sent.
+// its answer is cut; a lost answer must not count as a write that was never sent.
 TEST_CASE("A write whose answer is lost is unknown, and one that was never sent is not done")
 {
     CHECK(writeAt(unusedAddress()) == TableStatus::NotDone);
