--- a/tests/auto/gateway/fakestore.h
+++ b/tests/auto/gateway/fakestore.h
@@ -73,8 +73,8 @@
     }
 };
 
-/// A fake store on loopback. It answers each path with its version, or as told with 503 or not at
-/// all.
+/// A fake store on loopback. It answers each path with its version or, if a test sets it so, with
+/// 503 or not at all.
 class FakeStore final : public RequestHandler
 {
 public:
