--- a/tests/auto/gateway/tst_eventlog.cpp
+++ b/tests/auto/gateway/tst_eventlog.cpp
@@ -113,7 +113,7 @@
     CHECK(count("\"answered\"") == 150);
     CHECK(count("\"failed\"") == 300);
     CHECK(log.dropped() == 1550);
-    // The limit applies to each second anew.
+    // The limit applies to each second separately.
     writeRequest(log, "answered", false, start + seconds(1));
     log.flush();
     CHECK(pipe.read().find("\"answered\"") != std::string::npos);
