--- a/tests/auto/gateway/tst_fleetview.cpp
+++ b/tests/auto/gateway/tst_fleetview.cpp
@@ -570,7 +570,8 @@
 {
     // Guards against hosts of a zone that admit every request when the store rejects their leader,
     // and again when it accepts it. This happens if the leader's announcement replaces its
-    // summaries, and the next leader sends summaries before it has heard from its zone.
+    // summaries, and the next leader sends summaries before it has received the reports of its
+    // zone.
     for (std::uint32_t seed = 1; seed <= 3; ++seed) {
         INFO("seed " << seed);
         const auto hosts = settledFleet(seed);
