--- a/tests/auto/gateway/tst_hostload.cpp
+++ b/tests/auto/gateway/tst_hostload.cpp
@@ -6,10 +6,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("a host's load is logged once a second with the customers turned away most", "[gateway]")
+TEST_CASE("a host's load is logged once a second with the customers rejected most", "[gateway]")
 {
     // Guards against a host that is overloaded for seconds while its log does not say whose streams
-    // it turns away.
+    // it rejects.
     const Base::TimePoint start{seconds(100)};
     HostLoadCounter counts;
     LoadSample sample;
