--- a/tests/auto/gateway/tst_storereplica.cpp
+++ b/tests/auto/gateway/tst_storereplica.cpp
@@ -238,7 +238,7 @@
     zone.addHosts(3);
     zone.listHosts();
     REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(7); }));
-    // The leader's watch goes on, and all other calls are rejected.
+    // The leader's watch continues, and all other calls are rejected.
     zone.store.refused["/configuration"] = true;
     zone.store.version = 8;
     // This is sooner than a host without a new proof would read the store itself.
@@ -259,14 +259,14 @@
     zone.addHosts(12);
     REQUIRE(zone.runUntil([&] { return zone.allHoldVersion(7); }, seconds(1)));
     CHECK(zone.store.calls["/configuration"] == 0);
-    // Each host reads the rows once. The leader goes on reading the servers and keeps all rows
+    // Each host reads the rows once. The leader continues to read the servers and keeps all rows
     // fresh.
     CHECK(zone.store.calls["/hosts"] <= 13);
     CHECK(zone.store.calls["/servers"] <= 4);
     CHECK(zone.store.calls["/row"] <= 1);
 }
 
-TEST_CASE("hosts that start together find each other, and only one goes on reading the store",
+TEST_CASE("hosts that start together find each other, and only one continues to read the store",
           "[gateway]")
 {
     // A new fleet starts, and no host has a row yet. Guards against hosts that ask the store again
@@ -277,7 +277,7 @@
     zone.runFor(milliseconds(700));
     zone.listHosts();
     zone.runFor(milliseconds(2500));
-    // No host has read the configuration before the leader did, and only the leader goes on.
+    // No host has read the configuration before the leader did, and only the leader continues.
     CHECK(zone.store.calls["/configuration"] <= 16);
     CHECK(zone.store.calls["/hosts"] <= 2 * 16);
     zone.store.version = 7;
