--- a/tests/auto/platformadapter/tst_storecodec.cpp
+++ b/tests/auto/platformadapter/tst_storecodec.cpp
@@ -130,7 +130,7 @@
 {
     // Guards against defaults for missing or unknown values in an entry that another program wrote:
     // requests would fail at an address where nothing listens, or a running server would be
-    // excluded for good.
+    // excluded permanently.
     const auto isMalformed = [](const std::string &text) {
         return outcomeOf([&] { return readServer("i-1", text); }) == Outcome::Malformed;
     };
