--- a/tests/auto/routing/tst_placement.cpp
+++ b/tests/auto/routing/tst_placement.cpp
@@ -148,7 +148,7 @@
     CHECK(used.size() == 4);
 }
 
-TEST_CASE("a request that could not start in time is turned away at once, with a retry time",
+TEST_CASE("a request that could not start in time is rejected at once, with a retry time",
           "[routing]")
 {
     // A burst of long prompts reaches a full pool. Without the check, all of them wait until their
