--- a/tests/auto/scheduling/tst_admission.cpp
+++ b/tests/auto/scheduling/tst_admission.cpp
@@ -40,8 +40,8 @@
 
 TEST_CASE("a burst after a quiet time is admitted as far as the pool can serve it", "[scheduling]")
 {
-    // Guards against refusing a burst while every server is idle, which happens when the low
-    // permit rate of the quiet time is taken for the drain rate of the pool.
+    // Guards against refusing a burst while every server is idle, which happens when the low permit
+    // rate of the quiet time is used as the drain rate of the pool.
     DrainEstimator drain;
     for (int i = 0; i < 100; ++i)
         drain.recordUse(Milliseconds(200));
