--- a/tools/gatewayload/caller.h
+++ b/tools/gatewayload/caller.h
@@ -27,6 +27,6 @@
 };
 
 /// Sends one request after the other on a persistent connection until \a isStopped. \a caller makes
-/// the ids of the requests unique. Connects anew after a failure.
+/// the ids of the requests unique. Reconnects after a failure.
 void runCaller(const LoadPlan &plan, std::uint64_t caller, const std::atomic<bool> &isStopped,
                LoadCounts &counts);
