--- a/tools/schedulingmodels/enginemodel.h
+++ b/tools/schedulingmodels/enginemodel.h
@@ -41,7 +41,7 @@
         , m_random(shape.seed)
     {}
 
-    /// Runs for \a milliseconds and measures busy, slotSteps and longestQueue anew.
+    /// Runs for \a milliseconds after resetting busy, slotSteps and longestQueue.
     void run(std::int64_t milliseconds)
     {
         busy = 0;
