--- a/tools/virtualfleet/fleet.h
+++ b/tools/virtualfleet/fleet.h
@@ -45,7 +45,7 @@
 
     /// Ends a router's process: its state is lost and its connections to servers are closed.
     void kill(std::size_t index);
-    /// Starts a router anew with empty state and an incarnation that is larger by one.
+    /// Restarts a router with empty state and an incarnation that is larger by one.
     void restart(std::size_t index);
     /// Partitions the network between two routers in both directions, or heals the partition.
     void setPartitioned(std::size_t a, std::size_t b, bool isPartitioned);
