--- a/tools/virtualfleet/modelserver.h
+++ b/tools/virtualfleet/modelserver.h
@@ -69,7 +69,7 @@
     bool resume(Token token, AnswerSink *sink, std::uint64_t fromPart);
     /// Ends the stream \a token and frees its slot.
     void cancel(Token token);
-    /// Forgets the sink of \a token. The work goes on unless it is cancelled.
+    /// Forgets the sink of \a token. The work continues unless it is cancelled.
     void detach(Token token);
 
     std::size_t running() const { return m_running; }
