--- a/tools/virtualfleet/virtualrouter.cpp
+++ b/tools/virtualfleet/virtualrouter.cpp
@@ -197,7 +197,7 @@
         return;
     if (!target) {
         // The host runs but the router's process does not, so the connection is refused. The sender
-        // hears of that after a round trip.
+        // learns of that after a round trip.
         runAfter(fleet->shape().latency * 2, [this, to] { handle(Node::PeerUnreachable{to}); });
         return;
     }
