--- a/src/libs/coordination/membership.cpp
+++ b/src/libs/coordination/membership.cpp
@@ -115,7 +115,7 @@
         ++m_viewVersion;
     member->state = state;
     applyPools(*member, heartbeat);
-    recordHeard(*member, now);
+    recordHeartbeat(*member, now);
 }
 
 Member *Membership::findOrAdd(const Heartbeat &heartbeat)
@@ -155,7 +155,7 @@
         replaceOrAdd(member.pools, summary);
 }
 
-void Membership::recordHeard(Member &member, Base::TimePoint now)
+void Membership::recordHeartbeat(Member &member, Base::TimePoint now)
 {
     if (!member.isAlive && now - member.lastHeardAt >= suspectTimeout(member))
         member.steadySince = now;
--- a/src/libs/coordination/membership.h
+++ b/src/libs/coordination/membership.h
@@ -158,7 +158,7 @@
     bool isWorthSending(const PoolSummary &summary) const;
     void applyPools(Member &member, const Heartbeat &heartbeat);
     /// Records that a heartbeat of the member arrived and marks it alive after its hold-down time.
-    void recordHeard(Member &member, Base::TimePoint now);
+    void recordHeartbeat(Member &member, Base::TimePoint now);
     void markLost(Member &member, Base::TimePoint now);
     /// Time for which heartbeats of a lost member must arrive before it is used again.
     Base::Duration holdDownTime(const Member &member) const;
