--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -130,9 +130,9 @@
         decisions.rejected.push_back(makeRejection(work, RejectionReason::BeyondShare, now));
         return decisions;
     }
-    const bool onlyWithRoom = isRetry || admission == Admission::SpareCapacity;
+    const bool onlyWithCapacity = isRetry || admission == Admission::SpareCapacity;
     // Waiting requests mostly wait for servers that are full, so a new request may overtake them.
-    const std::optional<Candidate> candidate = selectServer(work, now, admission, onlyWithRoom);
+    const std::optional<Candidate> candidate = selectServer(work, now, admission, onlyWithCapacity);
     if (candidate && candidate->hasRoom) {
         if (!isRetry)
             m_shares.recordAdmitted(work.customer, tokensOf(work), now);
@@ -264,7 +264,7 @@
 
 std::optional<Dispatcher::Candidate> Dispatcher::selectServer(const Work &work, Base::TimePoint now,
                                                               Admission admission,
-                                                              bool onlyWithRoom)
+                                                              bool onlyWithCapacity)
 {
     if (m_servers.empty())
         return std::nullopt;
@@ -283,7 +283,7 @@
         const bool isUsable = state.health.isUsable(now);
         const ServerSnapshot snapshot = snapshotOf(state, now);
         const bool hasCapacity = isUsable && m_cost.hasRoom(snapshot, admission);
-        if (!hasCapacity && (onlyWithRoom || !isUsable))
+        if (!hasCapacity && (onlyWithCapacity || !isUsable))
             continue;
         Candidate candidate = evaluate(state, snapshot, work, cached, prompt, now);
         candidate.hasRoom = hasCapacity;
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -129,9 +129,9 @@
     };
     /// Returns the server with the lowest estimated cost, or nothing if no server qualifies. If
     /// that server has no capacity, the request should wait for it, since any other server would
-    /// serve it later. With \a onlyWithRoom, only servers that have capacity count.
+    /// serve it later. With \a onlyWithCapacity, only servers that have capacity count.
     std::optional<Candidate> selectServer(const Work &work, Base::TimePoint now,
-                                          Admission admission, bool onlyWithRoom = false);
+                                          Admission admission, bool onlyWithCapacity = false);
     /// Estimates the cost of the request at a server that has \a cachedTokens of its prompt cached.
     Candidate evaluate(ServerState &state, const ServerSnapshot &snapshot, const Work &work,
                        std::uint32_t cachedTokens, const CachedPrefix &prompt,
