--- a/tests/auto/coordination/tst_serviceledger.cpp
+++ b/tests/auto/coordination/tst_serviceledger.cpp
@@ -269,18 +269,18 @@
 TEST_CASE("a new customer at a home where nobody waits starts at the peers' floor", "[ledger]")
 {
     Fleet fleet(2);
-    ServiceLedger &crowded = *fleet.ledgers[0];
-    crowded.charge(customer(0), 90000);
-    crowded.charge(customer(1), 80000);
-    crowded.clampDebts({customer(0), customer(1)});
-    crowded.clampDebts({});
+    ServiceLedger &peerLedger = *fleet.ledgers[0];
+    peerLedger.charge(customer(0), 90000);
+    peerLedger.charge(customer(1), 80000);
+    peerLedger.clampDebts({customer(0), customer(1)});
+    peerLedger.clampDebts({});
     fleet.send(0);
     fleet.deliver(0);
     fleet.ledgers[1]->becomeBacklogged(customer(2), {});
     CHECK(fleet.ledgers[1]->position(customer(2)) == 80000);
     fleet.advanceAll(2s);
-    crowded.charge(customer(0), 1);
-    CHECK(crowded.takeDelta()->floor == 0);
+    peerLedger.charge(customer(0), 1);
+    CHECK(peerLedger.takeDelta()->floor == 0);
 }
 
 // A router that takes a shard over right after its start would otherwise see all customers at
