--- a/src/libs/coordination/orderreconciler.h
+++ b/src/libs/coordination/orderreconciler.h
@@ -27,9 +27,10 @@
 /// rate. All routers therefore share one rate limit for starting loads; without it the store would
 /// refuse most loads, which would all be retried at once.
 ///
-/// A server that checks fences refuses an outdated order whenever it arrives. For a server that
-/// does not, a router never sends after the end of its lease, but an order that was sent in time
-/// and delayed beyond that can still arrive after a newer one (docs/design/model-orders.md).
+/// A server that checks fences refuses an outdated order whenever it arrives. To a server that does
+/// not check fences, a router sends nothing after the end of its lease, but an order that was sent
+/// in time and delayed beyond that can still arrive after a newer one
+/// (docs/design/model-orders.md).
 class OrderReconciler
 {
 public:
