--- a/src/libs/gateway/eventlog.h
+++ b/src/libs/gateway/eventlog.h
@@ -54,13 +54,13 @@
 
     void setRequestLineLimit(unsigned perSecond) { m_requestLinesPerSecond = perSecond; }
     /// Writes a line to which no limit per second applies; it is dropped only if the buffer is
-    /// full. For events that change the state of the process.
+    /// full. Used for events that change the state of the process.
     void write(const LogLine &line, Base::TimePoint now);
     /// Counts one line about a request against the limit per second, which is larger for failures.
     /// Returns false if the limit is reached; the line then counts as dropped and need not be
     /// built, which would take about a tenth of the processor time of a refused request.
     bool tryAcquireRequestLine(bool isFailure, Base::TimePoint now);
-    /// Writes as much of the buffer as the descriptor accepts. To be called often.
+    /// Writes as much of the buffer as the descriptor accepts. Must be called often.
     void flush();
 
     std::uint64_t dropped() const { return m_dropped; }
