--- a/src/libs/gateway/hostreport.h
+++ b/src/libs/gateway/hostreport.h
@@ -54,8 +54,8 @@
     std::uint64_t serversVersion = 0;
     /// The latest changes of servers in order, so that other hosts need not read all servers.
     std::vector<Routing::ServerChange> serverChanges;
-    /// Set by a host that reads the store itself: the age, when the report was sent, of the
-    /// question whose answer proved both the configuration and the servers current.
+    /// Set by a host that reads the store itself: the age, when the report was sent, of the store
+    /// call whose answer proved both the configuration and the servers current.
     std::optional<Base::Milliseconds> proofAge;
     /// Set while the store does not answer the sender: the duration of the outage when the report
     /// was sent.
