--- a/src/libs/gateway/httplistener.h
+++ b/src/libs/gateway/httplistener.h
@@ -26,7 +26,7 @@
                                                               const ConnectionContext &context);
 
     /// Closes connections whose timeout has passed, and accepts again if the process had run out of
-    /// file descriptors. To be called a few times a second.
+    /// file descriptors. Must be called a few times a second.
     void checkTime(Base::TimePoint now);
     /// Closes the connections on which no request is open.
     void closeIdle();
