--- a/src/libs/gateway/storeclient.h
+++ b/src/libs/gateway/storeclient.h
@@ -76,7 +76,7 @@
                 const StoreProtocol &protocol, const HostRow &self, StoreListener &listener,
                 EventLog &log);
 
-    /// Starts the calls that are due. To be called every few tens of milliseconds.
+    /// Starts the calls that are due. Must be called every few tens of milliseconds.
     void advance(Base::TimePoint now);
     void setReaderRole(ReaderRole role) { m_readerRole = role; }
     void setIntervals(const StoreIntervals &intervals) { m_intervals = intervals; }
