--- a/src/libs/gateway/storecopyclient.h
+++ b/src/libs/gateway/storecopyclient.h
@@ -41,7 +41,7 @@
     /// Schedules a request for \a what to the host at \a peerAddress. Requests for the same data
     /// are merged until advance() sends one.
     void requestCopy(StoreData what, const std::string &peerAddress);
-    /// Sends the requests that are due. To be called every few tens of milliseconds.
+    /// Sends the requests that are due. Must be called every few tens of milliseconds.
     void advance(Base::TimePoint now);
 
 private:
