--- a/src/libs/gateway/storeintervals.h
+++ b/src/libs/gateway/storeintervals.h
@@ -24,7 +24,7 @@
     Base::Milliseconds keyRevocation{5000};
 };
 
-/// The intervals at which the store is asked.
+/// The intervals at which hosts call the store.
 ///
 /// Each call of the store has a price, and the hosts that read it call all the time: 3.7 times a
 /// second for each availability zone under bounds of two seconds, and half as often under bounds of
