--- a/src/libs/routing/costobserver.cpp
+++ b/src/libs/routing/costobserver.cpp
@@ -19,7 +19,7 @@
 /// The length of an imaginary first span in which the work cost as much as estimated.
 constexpr Base::Duration priorSpan = milliseconds(200);
 /// A host that is faster than estimated keeps the saved time for refusals and new connections. With
-/// a lower factor, its streams would crowd them out.
+/// a lower factor, its streams would use that time.
 constexpr double minFactor = 1;
 constexpr double maxFactor = 8;
 constexpr double milliCoresOfCore = 1000;
