--- a/src/libs/routing/customershares.h
+++ b/src/libs/routing/customershares.h
@@ -69,7 +69,7 @@
     /// event came.
     double started(const Base::CustomerId &customer, Base::TimePoint now) const;
     /// Returns the time in seconds in which anything was asked for, with the decay of the sums
-    /// below. Of all hosts, the one with the largest value counts.
+    /// below. The result is the largest value of all hosts.
     double askedSeconds(Base::TimePoint now) const;
     void updateLevels(Base::TimePoint now);
     /// Returns the relative difference between what is to be admitted and what servers recently
