--- a/tools/virtualfleet/fleet.h
+++ b/tools/virtualfleet/fleet.h
@@ -20,7 +20,7 @@
 
 namespace VirtualFleet {
 
-/// Up to a few hundred node cores in one process under one virtual clock, with fakes at their
+/// Runs up to a few hundred node cores in one process under one virtual clock, with fakes at their
 /// interfaces: a network that can lose and duplicate messages and be partitioned, model servers,
 /// the platform's table and its list of hosts, which reaches the routers at an interval.
 class Fleet
