--- a/src/libs/gateway/fleetview.cpp
+++ b/src/libs/gateway/fleetview.cpp
@@ -115,7 +115,7 @@
     if (isLarge() && isLeader(now) && report.scope != ReportScope::Fleet) {
         appendUses(m_usesForZone, report.load.partUses);
         // Another leader sends what it relays to all leaders. Relaying it to them again would make
-        // the uses circulate for ever and multiply each time.
+        // the uses circulate forever and multiply each time.
         if (report.scope == ReportScope::Host && from.zone == m_zone)
             appendUses(m_usesForLeaders, report.load.partUses);
     }
@@ -259,8 +259,8 @@
     if (!isLarge())
         return {{ReportScope::Host, allReceivers()}};
     if (const std::optional<MemberState> leader = leaderOf(m_zone, now)) {
-        // All hosts must learn at once that this host does not lead any more. Its silence alone
-        // would tell them only after more than a second without summaries and proofs.
+        // All hosts must learn at once that this host does not lead any more. Without this report
+        // they would notice it only after more than a second without summaries and proofs.
         if (now < m_announceUntil)
             return {{ReportScope::Host, allReceivers()}};
         return {{ReportScope::Host, {leader->peerAddress}}};
