--- a/src/libs/gateway/httpclient.cpp
+++ b/src/libs/gateway/httpclient.cpp
@@ -36,7 +36,7 @@
                 + std::to_string(call.body.size()) + "\r\n";
     m_output.clear();
     m_output.append(text + "\r\n" + call.body);
-    // Posted, so that a failure is not reported from within this function.
+    // The work is posted, so that a failure is not reported from within this function.
     boost::asio::post(*m_io, [self = shared_from_this()] {
         if (self->m_isConnected)
             self->write();
