--- a/src/libs/gateway/storeclient.cpp
+++ b/src/libs/gateway/storeclient.cpp
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-/// Added to the wait of a long poll: a store that is slowed down 60 times answers within 0.3 s.
+/// Time added to the wait of a long poll: a store slowed down 60 times answers within 0.3 s.
 constexpr Base::Duration watchTimeoutMargin = milliseconds(600);
 constexpr Base::Duration readTimeout = milliseconds(900);
 /// The pause after the first failure and its upper bound after several. A store that is down for
@@ -21,7 +21,8 @@
 constexpr Base::Duration maxRetryPause = milliseconds(1000);
 /// Upper bound of the pause for a host that reads for its zone, since the other hosts wait for it.
 constexpr Base::Duration maxRetryPauseForZone = milliseconds(500);
-/// Between two calls of a host that the store has refused and for which another host reads now.
+/// Interval between two calls of a host that the store has refused and for which another host reads
+/// now.
 constexpr Base::Duration probeInterval = milliseconds(2000);
 /// Periodic full readings keep the watched version within the store's history, which covers about
 /// 20 s.
@@ -242,8 +243,8 @@
             }
             m_needsServers = false;
             m_areServersUnconfirmed = false;
-            // Reported only on a change, since the same entry is read again about twice a second
-            // for as long as it is in the store.
+            // The entries are reported only on a change, since the same entry is read again about
+            // twice a second for as long as it is in the store.
             if (std::exchange(m_unreadableEntries, m_pendingUnreadableEntries)
                 != m_pendingUnreadableEntries)
                 m_listener->unreadableEntriesChanged(m_unreadableEntries);
