--- a/src/libs/routing/customershares.cpp
+++ b/src/libs/routing/customershares.cpp
@@ -31,7 +31,7 @@
 /// reports. Nothing is wrong then, so the others are not held to its earlier amount.
 constexpr Base::Duration unmetDelay = milliseconds(700);
 /// The part of its share up to which a host admits a customer without a limit. A customer far below
-/// its share needs no limit, and a request that comes to a host for once is not delayed.
+/// its share needs no limit, and its occasional request at a host is not delayed.
 constexpr double unlimitedShare = 0.5;
 /// The age of the reports of other hosts: up to a fifth of a second until a report, and twice that
 /// where it passes through leaders.
