--- a/src/libs/scheduling/fairqueue.cpp
+++ b/src/libs/scheduling/fairqueue.cpp
@@ -258,7 +258,7 @@
 const FairQueue::Item *FairQueue::selectNext(const ServiceView &service, const ClassClaims &claims,
                                              Base::ServiceUnits windowEnd, Base::TimePoint now)
 {
-    // In order of preference. Work is in time while its start target has not passed.
+    // The ranks are in order of preference. Work is in time while its start target has not passed.
     enum Rank { InTime, Late, InTimeOverClaim, LateOverClaim, RankCount };
     std::array<const Item *, RankCount> bestByRank{};
     const auto consider = [&](Rank rank, const Item *head) {
