--- a/src/libs/coordination/serviceledger.cpp
+++ b/src/libs/coordination/serviceledger.cpp
@@ -86,8 +86,8 @@
 {
     if (backlogged.empty())
         return;
-    // Peers are told only the floor of the customers that wait here. If they were told the
-    // smallest floor known anywhere, they would report it back and it could never rise again.
+    // Only the floor of the customers that wait here is sent to peers. If the smallest floor known
+    // anywhere were sent, peers would report it back and it could never rise again.
     if (const auto here = localFloor(backlogged, Base::CustomerId()))
         recordFloor(*here);
     const Base::ServiceUnits floor = poolFloor(backlogged, Base::CustomerId());
@@ -135,7 +135,7 @@
     // A customer that waits only at another shard is still backlogged in the pool. Lifting it to
     // the local floor would cancel the service that it is still owed there.
     for (const auto &[start, remote] : m_remoteStarts) {
-        if (remote.floor == 0 || m_now - remote.heardAt > m_policy.peerFloorTimeout)
+        if (remote.floor == 0 || m_now - remote.lastHeardAt > m_policy.peerFloorTimeout)
             continue;
         floor = floor ? std::min(*floor, remote.floor) : remote.floor;
     }
--- a/src/libs/coordination/serviceledger.h
+++ b/src/libs/coordination/serviceledger.h
@@ -21,7 +21,7 @@
 /// Limits and intervals of a ServiceLedger.
 struct LedgerPolicy
 {
-    /// Largest debt of a customer, in weighed tokens. The debt is the distance of its position
+    /// Largest debt of a customer, in weighted tokens. The debt is the distance of its position
     /// ahead of the floor; what exceeds the limit is forgiven, so that the customer does not
     /// starve when partitioned routers rejoin. The value is about one second of service by
     /// twenty model servers that generate 2,000 tokens a second each.
@@ -60,7 +60,7 @@
 /// home routers (a home grants the permits for one shard of the pool). With a separate count at
 /// each home, a customer with work at n homes would get n shares.
 ///
-/// Each customer has a position, in weighed tokens; the customer with the smallest position is
+/// Each customer has a position, in weighted tokens; the customer with the smallest position is
 /// served first. The floor is the smallest position among the waiting customers.
 ///
 ///     position = lifted + settled + charged by every live start - forgiven + held
@@ -80,7 +80,7 @@
                                               Base::Incarnation incarnation,
                                               const Base::PoolId &pool);
 
-    /// Returns the customer's position in weighed tokens. An unknown customer has the highest
+    /// Returns the customer's position in weighted tokens. An unknown customer has the highest
     /// floor known, at which it would be added.
     Base::ServiceUnits position(const Base::CustomerId &customer) const override;
 
@@ -97,7 +97,7 @@
     void becomeBacklogged(const Base::CustomerId &customer,
                           const std::vector<Base::CustomerId> &backlogged);
     /// Limits the debt of each customer in \a backlogged to LedgerPolicy::maxDebt and updates the
-    /// floor that peers are told. Must be called regularly, because a merge after a partition can
+    /// floor that is sent to peers. Must be called regularly, because a merge after a partition can
     /// create larger debts.
     void clampDebts(const std::vector<Base::CustomerId> &backlogged);
 
@@ -107,7 +107,7 @@
     /// largest unsent charge first, and now and then refreshed entries; nullopt if there is
     /// nothing to send.
     std::optional<LedgerDelta> takeDelta(std::size_t limit = allEntries);
-    /// Returns what a peer needs that starts or takes over a home: all customers except idle
+    /// Returns what a peer needs when it starts or takes over a home: all customers except idle
     /// ones at or below the floor.
     LedgerDelta snapshot() const;
     /// Sets the current time, folds silent starts and drops idle customers.
@@ -149,7 +149,7 @@
     /// What is known of one live start of another router.
     struct RemoteStart
     {
-        Base::TimePoint heardAt;
+        Base::TimePoint lastHeardAt;
         Base::ServiceUnits floor = 0;
         std::map<Base::CustomerId, Base::ServiceUnits> seen;
     };
--- a/src/libs/gateway/exchange.cpp
+++ b/src/libs/gateway/exchange.cpp
@@ -157,14 +157,14 @@
     return std::min(m_accepted.request.readAt + route().timeout, m_accepted.deadline);
 }
 
-void Exchange::turnedAway(const Routing::TurnedAway &why)
+void Exchange::rejected(const Routing::Rejection &why)
 {
     if (m_state != State::Waiting)
         return;
-    m_turnedAway = why;
-    const FailureType type = why.reason == Routing::TurnedAwayReason::NoServer
+    m_rejection = why;
+    const FailureType type = why.reason == Routing::RejectionReason::NoServer
                                  ? FailureType::NoServer
-                                 : FailureType::TurnedAway;
+                                 : FailureType::Rejection;
     fail({type, m_mayHaveRun, why.retryAfter});
 }
 
@@ -206,9 +206,9 @@
     if (silence < silenceTimeout())
         return false;
     // A server that answers other requests is alive and only slow. Giving up its work would waste
-    // what it has already read, and no other server has room in a crowded pool. A server that never
-    // answers this request may drop some of its requests silently, so the longer wait is bounded
-    // too.
+    // what it has already read, and in an overloaded pool no other server has capacity. A server
+    // that never answers this request may drop some of its requests silently, so the longer wait is
+    // bounded too.
     const Base::Duration quietTime = route().isStream() ? streamServerQuietTime : serverQuietTime;
     const std::optional<Base::TimePoint> lastResponseAt = m_port->lastResponseFrom(m_server);
     const bool isServerQuiet = !lastResponseAt || now - *lastResponseAt >= quietTime;
@@ -373,7 +373,7 @@
         return;
     }
     const bool isNoRoom = outcome == AttemptOutcome::NoRoom;
-    fail({isNoRoom ? FailureType::TurnedAway : FailureType::ServerFailed, m_mayHaveRun,
+    fail({isNoRoom ? FailureType::Rejection : FailureType::ServerFailed, m_mayHaveRun,
           defaultRetryAfter});
 }
 
@@ -499,11 +499,11 @@
         .add("firstMs",
              m_eventCount > 0 ? m_firstEventAt - m_accepted.request.readAt : Base::Duration(0))
         .add("wholeMs", now - m_accepted.request.readAt);
-    if (m_turnedAway) {
-        line.add("why", Routing::nameOf(m_turnedAway->reason))
-            .add("received", m_turnedAway->received)
-            .add("shareLevel", m_turnedAway->shareLevel)
-            .add("retryAfterMs", Base::Duration(m_turnedAway->retryAfter));
+    if (m_rejection) {
+        line.add("why", Routing::nameOf(m_rejection->reason))
+            .add("received", m_rejection->received)
+            .add("shareLevel", m_rejection->shareLevel)
+            .add("retryAfterMs", Base::Duration(m_rejection->retryAfter));
     }
     m_port->log().write(line, now);
 }
--- a/src/libs/gateway/failure.cpp
+++ b/src/libs/gateway/failure.cpp
@@ -17,7 +17,7 @@
         return "unauthorized";
     case FailureType::BadRequest:
         return "bad_request";
-    case FailureType::TurnedAway:
+    case FailureType::Rejection:
         return "overloaded";
     case FailureType::NoServer:
         return "no_capacity";
@@ -45,7 +45,7 @@
     case FailureType::TimedOut:
         return failure.mayHaveRun ? 504 : 503;
     case FailureType::NotReady:
-    case FailureType::TurnedAway:
+    case FailureType::Rejection:
     case FailureType::NoServer:
     case FailureType::ServerFailed:
     case FailureType::ShuttingDown:
@@ -71,8 +71,9 @@
 
 std::string failureBody(const Failure &failure, const std::string &requestId)
 {
-    // Built without a JSON tree, except for the caller's id, which is the only text that needs to
-    // be escaped: on loopback a refusal takes 17.4 us of processor time, and 20.8 us with a tree.
+    // The text is built without a JSON tree, except for the caller's id, which is the only text
+    // that needs to be escaped: on loopback a refusal takes 17.4 us of processor time, and 20.8 us
+    // with a tree.
     const char *name = failureName(failure.type);
     std::string body = R"({"error":{"type":")";
     body.append(name).append(R"(","message":")").append(name);
--- a/src/libs/gateway/fleetview.cpp
+++ b/src/libs/gateway/fleetview.cpp
@@ -12,10 +12,10 @@
 /// Reports are sent five times a second. Three or more in a row are not lost by chance, and a host
 /// that is down must leave the entry list before many callers try it.
 constexpr Base::Duration livenessTimeout = std::chrono::milliseconds(1400);
-/// A host that is down or cut off is still sent reports for this long after it was last heard from
-/// or listed in the store.
+/// Reports are still sent to a host that is down or cut off until this time has passed since its
+/// last report or its last listing in the store.
 constexpr Base::Duration receiverTimeout = std::chrono::seconds(45);
-/// For this long a cached decision on who leads is reused.
+/// Time for which a cached decision on who leads is reused.
 constexpr Base::Duration leaderCacheTime = std::chrono::milliseconds(100);
 /// For this long after a change that affects who leads, this host reports to all hosts and not only
 /// to the leader. The time covers three reports, of which one or two may be lost.
@@ -115,7 +115,7 @@
     if (isLarge() && isLeader(now) && report.scope != ReportScope::Fleet) {
         appendUses(m_usesForZone, report.load.partUses);
         // Another leader sends what it relays to all leaders. Relaying it to them again would make
-        // the uses circulate for ever and multiply each time.
+        // the uses circulate forever and multiply each time.
         if (report.scope == ReportScope::Host && from.zone == m_zone)
             appendUses(m_usesForLeaders, report.load.partUses);
     }
@@ -259,8 +259,8 @@
     if (!isLarge())
         return {{ReportScope::Host, allReceivers()}};
     if (const std::optional<MemberState> leader = leaderOf(m_zone, now)) {
-        // All hosts must learn at once that this host does not lead any more. Its silence alone
-        // would tell them only after more than a second without summaries and proofs.
+        // All hosts must learn at once that this host does not lead any more. Without this report
+        // they would notice it only after more than a second without summaries and proofs.
         if (now < m_announceUntil)
             return {{ReportScope::Host, allReceivers()}};
         return {{ReportScope::Host, {leader->peerAddress}}};
--- a/src/libs/routing/customershares.cpp
+++ b/src/libs/routing/customershares.cpp
@@ -31,7 +31,7 @@
 /// reports. Nothing is wrong then, so the others are not held to its earlier amount.
 constexpr Base::Duration unmetDelay = milliseconds(700);
 /// The part of its share up to which a host admits a customer without a limit. A customer far below
-/// its share needs no limit, and a request that comes to a host for once is not delayed.
+/// its share needs no limit, and its occasional request at a host is not delayed.
 constexpr double unlimitedShare = 0.5;
 /// The age of the reports of other hosts: up to a fifth of a second until a report, and twice that
 /// where it passes through leaders.
@@ -146,7 +146,7 @@
     m_asked.addTo(asked, now);
     // The sums cover about two seconds, but no time before the load began. If the whole two seconds
     // counted as capacity from the first moment, two seconds' worth of requests would be admitted
-    // at once, and everybody would be turned away for the next two seconds.
+    // at once, and every request would be rejected for the next two seconds.
     const double seconds = askedSeconds(now);
     // Servers that are lost or slow process less than the configured throughput.
     const double configuredCapacity = m_tokensPerSecond * seconds * (1 + std::min(growth(), 0.0));
--- a/src/libs/routing/dispatcher.cpp
+++ b/src/libs/routing/dispatcher.cpp
@@ -116,23 +116,23 @@
     if (work.tried.empty())
         m_shares.recordDemand(work.customer, tokensOf(work), now);
     if (m_servers.empty()) {
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::NoServer, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::NoServer, now));
         return decisions;
     }
     // A returning request was admitted before, and a server may have spent time on it. If it were
-    // turned away now, its caller could not be told that it has not run.
+    // rejected now, its caller could not be told that it has not run.
     const bool isRetry = !work.tried.empty();
     const Admission admission =
         isRetry ? Admission::WithinShare : m_shares.admission(work.customer, now);
     // The refusal comes first: looking at a hundred servers would cost an overloaded host more than
     // the rest of the refusal.
     if (admission == Admission::Refused) {
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::BeyondShare, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::BeyondShare, now));
         return decisions;
     }
-    const bool onlyWithRoom = isRetry || admission == Admission::SpareCapacity;
+    const bool onlyWithCapacity = isRetry || admission == Admission::SpareCapacity;
     // Waiting requests mostly wait for servers that are full, so a new request may overtake them.
-    const std::optional<Candidate> candidate = selectServer(work, now, admission, onlyWithRoom);
+    const std::optional<Candidate> candidate = selectServer(work, now, admission, onlyWithCapacity);
     if (candidate && candidate->hasRoom) {
         if (!isRetry)
             m_shares.recordAdmitted(work.customer, tokensOf(work), now);
@@ -140,11 +140,11 @@
         return decisions;
     }
     if (admission != Admission::WithinShare) {
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::BeyondShare, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::BeyondShare, now));
         return decisions;
     }
     if (m_waiting.size() >= maxWaiting) {
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::QueueFull, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::QueueFull, now));
         return decisions;
     }
     const Base::Duration maxWait =
@@ -157,7 +157,7 @@
             place(std::move(work), *any, now, decisions);
             return decisions;
         }
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::TooLate, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::TooLate, now));
         return decisions;
     }
     if (candidate)
@@ -168,7 +168,7 @@
     return decisions;
 }
 
-void Dispatcher::recordTurnedAway(const Work &work, Base::TimePoint now)
+void Dispatcher::recordRejected(const Work &work, Base::TimePoint now)
 {
     m_shares.recordDemand(work.customer, tokensOf(work), now);
 }
@@ -264,7 +264,7 @@
 
 std::optional<Dispatcher::Candidate> Dispatcher::selectServer(const Work &work, Base::TimePoint now,
                                                               Admission admission,
-                                                              bool onlyWithRoom)
+                                                              bool onlyWithCapacity)
 {
     if (m_servers.empty())
         return std::nullopt;
@@ -283,7 +283,7 @@
         const bool isUsable = state.health.isUsable(now);
         const ServerSnapshot snapshot = snapshotOf(state, now);
         const bool hasCapacity = isUsable && m_cost.hasRoom(snapshot, admission);
-        if (!hasCapacity && (onlyWithRoom || !isUsable))
+        if (!hasCapacity && (onlyWithCapacity || !isUsable))
             continue;
         Candidate candidate = evaluate(state, snapshot, work, cached, prompt, now);
         candidate.hasRoom = hasCapacity;
@@ -487,7 +487,7 @@
         }
         if (work.tried.empty())
             m_shares.recordAdmitted(work.customer, -tokensOf(work), now);
-        decisions.turnedAway.push_back(makeTurnedAway(work, TurnedAwayReason::TooLate, now));
+        decisions.rejected.push_back(makeRejection(work, RejectionReason::TooLate, now));
     }
 }
 
@@ -517,8 +517,7 @@
     return std::clamp(milliseconds(static_cast<std::int64_t>(ms)), minRetryAfter, maxRetryAfter);
 }
 
-TurnedAway Dispatcher::makeTurnedAway(const Work &work, TurnedAwayReason reason,
-                                      Base::TimePoint now)
+Rejection Dispatcher::makeRejection(const Work &work, RejectionReason reason, Base::TimePoint now)
 {
     return {work.id, reason, retryAfter(), m_shares.received(work.customer, now),
             m_shares.shareLevel(now)};
--- a/src/libs/routing/dispatcher.h
+++ b/src/libs/routing/dispatcher.h
@@ -20,18 +20,18 @@
 
 namespace Routing {
 
-/// Decides where the requests of one service that enter at this host go: to a server now, to a
-/// server later, or nowhere.
+/// Decides what happens to the requests of one service that arrive at this host: each is sent to a
+/// server, waits for one, or is rejected.
 ///
 /// A pool may be overloaded by a burst, by a large customer, or because servers are lost. Servers
 /// run requests in order of arrival, and one long prompt delays all requests beside it. Therefore
 /// each server is kept only just full, and further requests wait here in a fair order. A request
-/// that could not start in time behind the waiting ones is turned away at once, together with a
-/// time after which capacity is expected.
+/// that could not start in time behind the waiting ones is rejected at once, together with a time
+/// after which capacity is expected.
 ///
 /// CustomerShares decides how much capacity a customer's requests may use. Within its share, a
 /// request waits for a server that is full. Beyond its share, it is placed on a server with little
-/// load, or turned away at once.
+/// load, or rejected at once.
 ///
 /// The choice of a server compares estimates of the time to the first event in milliseconds. They
 /// include the prompt tokens that this host and the others sent to the server and that it has not
@@ -56,9 +56,9 @@
 
     /// Handles a request that arrives, or that returns after a failed attempt.
     Decisions submit(Work work, Base::TimePoint now);
-    /// Records a request that this host turned away before it reached the dispatcher. It counts as
+    /// Records a request that this host rejected before it reached the dispatcher. It counts as
     /// demand: otherwise the fleet would assume that its customer gets all that it asks for.
-    void recordTurnedAway(const Work &work, Base::TimePoint now);
+    void recordRejected(const Work &work, Base::TimePoint now);
     /// Removes a waiting request that is no longer wanted.
     void withdraw(WorkId id);
     /// Records that the first event of a placed request came.
@@ -129,9 +129,9 @@
     };
     /// Returns the server with the lowest estimated cost, or nothing if no server qualifies. If
     /// that server has no capacity, the request should wait for it, since any other server would
-    /// serve it later. With \a onlyWithRoom, only servers that have capacity count.
+    /// serve it later. With \a onlyWithCapacity, only servers that have capacity count.
     std::optional<Candidate> selectServer(const Work &work, Base::TimePoint now,
-                                          Admission admission, bool onlyWithRoom = false);
+                                          Admission admission, bool onlyWithCapacity = false);
     /// Estimates the cost of the request at a server that has \a cachedTokens of its prompt cached.
     Candidate evaluate(ServerState &state, const ServerSnapshot &snapshot, const Work &work,
                        std::uint32_t cachedTokens, const CachedPrefix &prompt,
@@ -155,9 +155,9 @@
     void place(Work work, const Candidate &candidate, Base::TimePoint now, Decisions &decisions);
     /// Places waiting requests as far as there is capacity.
     void placeWaiting(Base::TimePoint now, Decisions &decisions);
-    TurnedAway makeTurnedAway(const Work &work, TurnedAwayReason reason, Base::TimePoint now);
-    /// Places each request that has waited too long on any server with capacity, or turns it away
-    /// if there is none.
+    Rejection makeRejection(const Work &work, RejectionReason reason, Base::TimePoint now);
+    /// Places each request that has waited too long on any server with capacity, or rejects it if
+    /// there is none.
     void resolveOverdue(Base::TimePoint now, Decisions &decisions);
     /// Returns the estimated time that a new request of \a customer waits behind the waiting ones.
     Base::Duration expectedWait(const Base::CustomerId &customer) const;
