--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/days on the users' bench, at the sites given, and prints each day's line
-# and the rules that it broke. Exits with 1 if any was broken.
+# Runs each scenario (day) of deploy/days on the bench program FLEETBENCH, at the given sites. Prints the
+# result line of each scenario and the rules that it violated. Exits with 1 if any rule was violated.
 # usage: days.sh FLEETBENCH SITE...
 set -euo pipefail
 cd "$(dirname "$0")/.."
