--- a/cmake/lagoonmast.cmake
+++ b/cmake/lagoonmast.cmake
@@ -2,8 +2,8 @@
 add_library(lagoonmast_warnings INTERFACE)
 target_compile_options(lagoonmast_warnings INTERFACE -Wall -Wextra -Wpedantic -Werror)
 
-# lagoonmast_library(NAME [LINK target...]): adds a library of every .cpp file in the current folder, or
-# a header-only one if there is none.
+# lagoonmast_library(NAME [LINK target...]): adds a library of every .cpp file in the current
+# folder, or a header-only one if there is none.
 function(lagoonmast_library name)
     cmake_parse_arguments(ARG "" "" "LINK" ${ARGN})
     file(GLOB sources CONFIGURE_DEPENDS *.cpp)
@@ -18,9 +18,9 @@
     endif()
 endfunction()
 
-# lagoonmast_test(LIB [LINK target...] [LONG tag...]): adds a test program for the library LIB, of every
-# .cpp file in the current folder. Test cases with a LONG tag simulate minutes each; they run as a
-# separate test with 40 instead of 200 random cases per property.
+# lagoonmast_test(LIB [LINK target...] [LONG tag...]): adds a test program for the library LIB, of
+# every .cpp file in the current folder. Test cases with a LONG tag simulate minutes each; they run
+# as a separate test with 40 instead of 200 random cases per property.
 function(lagoonmast_test lib)
     cmake_parse_arguments(ARG "" "" "LINK;LONG" ${ARGN})
     file(GLOB sources CONFIGURE_DEPENDS *.cpp)
--- a/scripts/checkpackages.sh
+++ b/scripts/checkpackages.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Fails if the build uses a system file that a machine with only the listed packages lacks, or if
-# the list names a package that the build does not use. Needs no clean machine: the packages that the
-# list installs are resolved from the package index, without recommended packages.
+# the list names a package that the build does not use. Needs no clean machine: the packages that
+# the list installs are resolved from the package index, without recommended packages.
 # usage: checkpackages.sh [--files FILE] [--manifest FILE] [--table]
 #   --files FILE     system files that the build uses, one per line; default: the output of
 #                    scripts/buildfiles.sh
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs each scenario (day) of deploy/days on the bench program FLEETBENCH, at the given sites. Prints the
-# result line of each scenario and the rules that it violated. Exits with 1 if any rule was violated.
+# Runs each scenario (day) of deploy/days on the bench program FLEETBENCH, at the given sites.
+# Prints the result line of each scenario and the rules that it violated. Exits with 1 if any rule
+# was violated.
 # usage: days.sh FLEETBENCH SITE...
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,5 +1,6 @@
 # Sourced by scripts that run real processes on this machine. Starts the fleet of
-# examples/quickstart, waits until each process is ready, and stops the started processes by their ids.
+# examples/quickstart, waits until each process is ready, and stops the started processes by their
+# ids.
 
 FLEET_BUILD=${FLEET_BUILD:-build}
 # Folder of the settings and the output of this run.
@@ -27,8 +28,8 @@
     done
 }
 
-# fleet_start NAME PROGRAM ARGUMENT...: starts the program in the background. Its output, such as the
-# spans of a router, goes to NAME.out and its errors to NAME.log.
+# fleet_start NAME PROGRAM ARGUMENT...: starts the program in the background. Its output, such as
+# the spans of a router, goes to NAME.out and its errors to NAME.log.
 fleet_start() {
     local name=$1
     shift
@@ -90,8 +91,8 @@
         | join(" > ")'
 }
 
-# fleet_terminate PID...: sends SIGTERM to each process and waits for all; fails if one does not exit
-# with 0.
+# fleet_terminate PID...: sends SIGTERM to each process and waits for all; fails if one does not
+# exit with 0.
 fleet_terminate() {
     local pid status=0
     for pid in "$@"; do
@@ -112,8 +113,8 @@
     return $status
 }
 
-# fleet_cleanup: kills the processes that still run, by their ids, and removes this run's files. Meant
-# for a trap.
+# fleet_cleanup: kills the processes that still run, by their ids, and removes this run's files.
+# Meant for a trap.
 fleet_cleanup() {
     local pid
     for pid in "${FLEET_PIDS[@]}"; do
--- a/scripts/install.sh
+++ b/scripts/install.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Installs missing packages: those that the build needs (deploy/system.toml) and those that only the
-# tests, the linters and scripts/generate.sh need (scripts/packages.txt). Does not install recommended
-# packages, since the hosts of a deployment do not have them.
+# tests, the linters and scripts/generate.sh need (scripts/packages.txt). Does not install
+# recommended packages, since the hosts of a deployment do not have them.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/manifest.sh
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Checks src, tests, tools and platform with clang-format and clang-tidy, except generated code. With
-# --fix it only formats the files in place. clang-tidy needs the compile commands of a configured
-# build/.
+# Checks src, tests, tools and platform with clang-format and clang-tidy, except generated code.
+# With --fix it only formats the files in place. clang-tidy needs the compile commands of a
+# configured build/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t files < <(find src tests tools platform -name '*.cpp' -o -name '*.h' | grep -v /generated/ | sort)
--- a/scripts/measuregateway.sh
+++ b/scripts/measuregateway.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures one of three gateways with stand-ins as store and backend servers, on the loopback of this
-# machine: processor time per forwarded request, per streamed event and per idle second, and memory
-# with 1,000 open streams.
+# Measures one of three gateways with stand-ins as store and backend servers, on the loopback of
+# this machine: processor time per forwarded request, per streamed event and per idle second, and
+# memory with 1,000 open streams.
 # usage: measuregateway.sh BUILD_FOLDER
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/quickstart.sh
+++ b/scripts/quickstart.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Builds lagoonmast, starts a fleet of three routers with stand-ins for the platform and the
-# backend servers on the loopback of this machine, and sends example requests. Prints each answer and
-# the path of its request. Exits with 0 if every check passes.
+# Builds lagoonmast, starts a fleet of three routers with stand-ins for the platform and the backend
+# servers on the loopback of this machine, and sends example requests. Prints each answer and the
+# path of its request. Exits with 0 if every check passes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install.sh
@@ -63,7 +63,7 @@
     -H 'X-Lagoonmast-Class: buyer-replies' -d '{"model":"condition-writer","stream":true,
     "max_tokens":4,"messages":[{"role":"user","content":"Is the blue pickup still for sale?"}]}'
 expect "the stream's end" "$(grep -c '^data: \[DONE\]' "$FLEET_DIR/body")" 1
-show "The Exchange: a condition summary that is not streamed" 200 2 /v1/chat/completions "${dealer[@]}" \
+show "The Exchange: an unstreamed condition summary" 200 2 /v1/chat/completions "${dealer[@]}" \
     -H 'X-Lagoonmast-Class: condition-summaries' -d '{"model":"condition-writer",
     "max_tokens":12,"messages":[{"role":"user","content":"Summarise the inspection of car 8."}]}'
 show "Convergência: a streamed answer to finance staff" 200 3 /v1/chat/completions \
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs missing packages, builds, and runs every test. Tests that KNOWN-RED.txt lists run first, and
-# their failures do not fail the run.
+# Installs missing packages, builds, and runs every test. Tests that KNOWN-RED.txt lists run first,
+# and their failures do not fail the run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/install.sh
